--- a/bench/capacity/measure_claims.cpp
+++ b/bench/capacity/measure_claims.cpp
@@ -148,7 +148,7 @@
     for (const auto count : request_counts)
     {
         const auto size = static_cast<double>(count);
-        const request_terms terms{
+        const request_context terms{
             .rank = 0,
             .deadline = time_point(std::chrono::seconds(1)),
             .customer = customer_id("charity-123"),
--- a/nutmegusher/execution/attempt_sequence_test.cpp
+++ b/nutmegusher/execution/attempt_sequence_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_LT(before.next(1000), after.next(1001));
 }
 
-TEST(attempt_sequence, tells_when_it_was_issued)
+TEST(attempt_sequence, encodes_the_time_of_issue)
 {
     attempt_sequence sequence;
     const auto number = sequence.next(1'790'000'000'000);
--- a/nutmegusher/execution/claim_table.cpp
+++ b/nutmegusher/execution/claim_table.cpp
@@ -10,7 +10,7 @@
 {
 
 using internal::fingerprint;
-using internal::same;
+using internal::is_same;
 
 messages::claim_result verdict(messages::claim_verdict value)
 {
@@ -46,7 +46,7 @@
 claim_table::apply(const messages::claim_command& command)
 {
     advance_time(command.proposed_at_ms());
-    forget_expired();
+    remove_expired();
     const auto key = internal::encode(command.key());
     switch (command.action_case())
     {
@@ -57,7 +57,7 @@
     case messages::claim_command::kRelease:
         return release(key, command);
     case messages::claim_command::kFence:
-        return fence_off(key, command);
+        return fence_attempt(key, command);
     case messages::claim_command::kLookUp:
         return find(command.key());
     case messages::claim_command::kResolve:
@@ -97,20 +97,20 @@
     const auto found = records_.find(key);
     if (found == records_.end())
     {
-        return grant(key, command);
+        return grant_start(key, command);
     }
     const auto& value = found->second;
-    if (holds(value, command.by()))
+    if (held_by(value, command.by()))
     {
-        return same(value.running->executor, command.executor())
+        return is_same(value.running->executor, command.executor())
                    ? verdict(messages::claim_granted)
                    : in_progress(*value.running);
     }
-    return refuse(key, command);
+    return refuse_start(key, command);
 }
 
 // No record of the key: the attempt may have it, unless it was given up.
-messages::claim_result claim_table::grant(
+messages::claim_result claim_table::grant_start(
     const std::string& key, const messages::claim_command& command)
 {
     if (is_fenced(key, command.by()))
@@ -121,7 +121,7 @@
     {
         return verdict(messages::claim_attempt_expired);
     }
-    if (bytes_ + internal::record_cost(key) > limits_.max_bytes)
+    if (bytes_ + internal::estimated_record_bytes(key) > limits_.max_bytes)
     {
         return verdict(messages::claim_unavailable);
     }
@@ -135,11 +135,11 @@
 
 // Another attempt has the key. The refused one is fenced, so that a second copy
 // of its start can't be granted after the key became free: nobody would run it.
-messages::claim_result claim_table::refuse(
+messages::claim_result claim_table::refuse_start(
     const std::string& key, const messages::claim_command& command)
 {
     const auto& value = records_.at(key);
-    if (!ran(key, value, command.by()))
+    if (!finished_by(key, value, command.by()))
     {
         add_fence(key, command.by());
     }
@@ -162,20 +162,20 @@
     auto& value = found->second;
     if (!value.running)
     {
-        const bool resent = ran(key, value, command.by());
+        const bool resent = finished_by(key, value, command.by());
         return verdict(
             resent ? messages::claim_granted : messages::claim_not_held);
     }
-    if (!same(value.running->holder, command.by()) ||
-        !same(value.running->executor, command.executor()))
+    if (!is_same(value.running->holder, command.by()) ||
+        !is_same(value.running->executor, command.executor()))
     {
         return verdict(messages::claim_not_held);
     }
-    store(*found, command, command.finish().answer());
+    store_answer(*found, command, command.finish().answer());
     return verdict(messages::claim_granted);
 }
 
-void claim_table::store(
+void claim_table::store_answer(
     record_map::value_type& entry,
     const messages::claim_command& command,
     const messages::stored_answer& answer)
@@ -197,21 +197,21 @@
     const std::string& key, const messages::claim_command& command)
 {
     const auto found = records_.find(key);
-    if (found == records_.end() || !holds(found->second, command.by()) ||
-        !same(found->second.running->executor, command.executor()))
+    if (found == records_.end() || !held_by(found->second, command.by()) ||
+        !is_same(found->second.running->executor, command.executor()))
     {
         return verdict(messages::claim_not_held);
     }
     if (command.resolve().has_answer())
     {
-        store(*found, command, command.resolve().answer());
+        store_answer(*found, command, command.resolve().answer());
         return verdict(messages::claim_granted);
     }
     if (!add_fence(key, command.by()))
     {
         return verdict(messages::claim_unavailable);
     }
-    bytes_ -= internal::record_cost(key);
+    bytes_ -= internal::estimated_record_bytes(key);
     records_.erase(found);
     return verdict(messages::claim_granted);
 }
@@ -223,10 +223,11 @@
 {
     const auto found = records_.find(key);
     const bool held =
-        found != records_.end() && holds(found->second, command.by());
+        found != records_.end() && held_by(found->second, command.by());
     if (found != records_.end() &&
-        (ran(key, found->second, command.by()) ||
-         (held && !same(found->second.running->executor, command.executor()))))
+        (finished_by(key, found->second, command.by()) ||
+         (held &&
+          !is_same(found->second.running->executor, command.executor()))))
     {
         return verdict(messages::claim_not_held);
     }
@@ -236,23 +237,24 @@
     }
     if (held)
     {
-        bytes_ -= internal::record_cost(key);
+        bytes_ -= internal::estimated_record_bytes(key);
         records_.erase(found);
     }
     return verdict(messages::claim_granted);
 }
 
-messages::claim_result claim_table::fence_off(
+messages::claim_result claim_table::fence_attempt(
     const std::string& key, const messages::claim_command& command)
 {
     const auto found = records_.find(key);
-    if (found != records_.end() && holds(found->second, command.by()))
+    if (found != records_.end() && held_by(found->second, command.by()))
     {
         return in_progress(*found->second.running);
     }
-    const bool finished_itself =
-        found != records_.end() && ran(key, found->second, command.by());
-    if (!finished_itself && !add_fence(key, command.by()))
+    const bool finished_by_attempt =
+        found != records_.end() &&
+        finished_by(key, found->second, command.by());
+    if (!finished_by_attempt && !add_fence(key, command.by()))
     {
         return verdict(messages::claim_unavailable);
     }
@@ -272,12 +274,12 @@
                          : already_finished(value.answer);
 }
 
-bool claim_table::holds(const record& value, const messages::attempt& by)
+bool claim_table::held_by(const record& value, const messages::attempt& by)
 {
-    return value.running && same(value.running->holder, by);
+    return value.running && is_same(value.running->holder, by);
 }
 
-bool claim_table::ran(
+bool claim_table::finished_by(
     const std::string& key, const record& value, const messages::attempt& by)
 {
     return !value.running && value.holder_fingerprint == fingerprint(key, by);
--- a/nutmegusher/execution/claim_table.hpp
+++ b/nutmegusher/execution/claim_table.hpp
@@ -127,24 +127,24 @@
     using record_map = std::unordered_map<std::string, record>;
 
     void advance_time(std::uint64_t proposed_at_ms);
-    void forget_expired();
+    void remove_expired();
     void strip_answers();
 
     messages::claim_result
     start(const std::string& key, const messages::claim_command& command);
     messages::claim_result
-    grant(const std::string& key, const messages::claim_command& command);
-    messages::claim_result
-    refuse(const std::string& key, const messages::claim_command& command);
+    grant_start(const std::string& key, const messages::claim_command& command);
+    messages::claim_result refuse_start(
+        const std::string& key, const messages::claim_command& command);
     messages::claim_result
     finish(const std::string& key, const messages::claim_command& command);
     messages::claim_result
     release(const std::string& key, const messages::claim_command& command);
-    messages::claim_result
-    fence_off(const std::string& key, const messages::claim_command& command);
+    messages::claim_result fence_attempt(
+        const std::string& key, const messages::claim_command& command);
     messages::claim_result
     resolve(const std::string& key, const messages::claim_command& command);
-    void store(
+    void store_answer(
         record_map::value_type& entry,
         const messages::claim_command& command,
         const messages::stored_answer& answer);
@@ -153,9 +153,9 @@
     finish_time(const messages::claim_command& command) const;
     // Whether the attempt has the claim now, and whether it had it and
     // finished.
-    static bool holds(const record& value, const messages::attempt& by);
-    static bool
-    ran(const std::string& key,
+    static bool held_by(const record& value, const messages::attempt& by);
+    static bool finished_by(
+        const std::string& key,
         const record& value,
         const messages::attempt& by);
     bool add_fence(const std::string& key, const messages::attempt& by);
--- a/nutmegusher/execution/claim_table_memory.cpp
+++ b/nutmegusher/execution/claim_table_retention.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
+using internal::estimated_record_bytes;
 using internal::fingerprint;
-using internal::record_cost;
 
 // What is kept of an answer when memory is short.
 std::string without_body(const std::string& bytes)
@@ -39,18 +39,19 @@
         log_time_ms_ = proposed_at_ms;
         return;
     }
-    const auto bound = log_time_ms_ + limits_.max_time_step_ms;
-    log_time_ms_ = std::max(log_time_ms_, std::min(proposed_at_ms, bound));
+    const auto max_log_time_ms = log_time_ms_ + limits_.max_time_step_ms;
+    log_time_ms_ =
+        std::max(log_time_ms_, std::min(proposed_at_ms, max_log_time_ms));
 }
 
-void claim_table::forget_expired()
+void claim_table::remove_expired()
 {
     while (!finished_.empty() &&
            finished_.front()->second.finished_at_ms + limits_.retention_ms <
                log_time_ms_)
     {
         const auto& [key, value] = *finished_.front();
-        bytes_ -= record_cost(key) + value.answer.size();
+        bytes_ -= estimated_record_bytes(key) + value.answer.size();
         answer_bytes_ -= value.answer.size();
         finished_.pop_front();
         stripped_ -= std::min<std::size_t>(stripped_, 1);
@@ -87,15 +88,17 @@
 {
     const auto previous =
         finished_.empty() ? 0 : finished_.back()->second.finished_at_ms;
-    const auto issued = attempt_sequence::issued_at_ms(command.by().sequence());
-    return std::max({log_time_ms_, command.proposed_at_ms(), issued, previous});
+    const auto issued_at_ms =
+        attempt_sequence::issued_at_ms(command.by().sequence());
+    return std::max(
+        {log_time_ms_, command.proposed_at_ms(), issued_at_ms, previous});
 }
 
 // False where there are too many fences to remember one more.
 bool claim_table::add_fence(const std::string& key, const messages::attempt& by)
 {
-    const auto print = fingerprint(key, by);
-    if (fence_set_.contains(print))
+    const auto attempt_fingerprint = fingerprint(key, by);
+    if (fence_set_.contains(attempt_fingerprint))
     {
         return true;
     }
@@ -105,11 +108,11 @@
     }
     // Not before the attempt was issued, by whatever clock: until the fence is
     // forgotten the attempt has expired.
-    const auto issued = attempt_sequence::issued_at_ms(by.sequence());
+    const auto issued_at_ms = attempt_sequence::issued_at_ms(by.sequence());
     const auto previous = fences_.empty() ? 0 : fences_.back().fenced_at_ms;
-    const auto at = std::max({log_time_ms_, issued, previous});
-    fence_set_.insert(print);
-    fences_.push_back({print, at});
+    const auto fenced_at_ms = std::max({log_time_ms_, issued_at_ms, previous});
+    fence_set_.insert(attempt_fingerprint);
+    fences_.push_back({attempt_fingerprint, fenced_at_ms});
     return true;
 }
 
@@ -128,13 +131,13 @@
 
 void claim_table::insert_running(std::string key, record value)
 {
-    bytes_ += record_cost(key);
+    bytes_ += estimated_record_bytes(key);
     records_.emplace(std::move(key), std::move(value));
 }
 
 void claim_table::insert_finished(std::string key, record value)
 {
-    bytes_ += record_cost(key) + value.answer.size();
+    bytes_ += estimated_record_bytes(key) + value.answer.size();
     answer_bytes_ += value.answer.size();
     const auto added = records_.emplace(std::move(key), std::move(value)).first;
     finished_.push_back(&*added);
--- a/nutmegusher/execution/claim_table_test.cpp
+++ b/nutmegusher/execution/claim_table_test.cpp
@@ -46,10 +46,10 @@
     }
 
     messages::claim_command
-    start(unsigned attempt, std::uint64_t content = digest) const
+    start(unsigned attempt, std::uint64_t content_digest = digest) const
     {
         auto out = command(attempt);
-        out.mutable_start()->set_request_digest(content);
+        out.mutable_start()->set_request_digest(content_digest);
         return out;
     }
 
@@ -70,10 +70,10 @@
     }
 
     messages::claim_command
-    fence(unsigned attempt, std::uint64_t content = digest) const
+    fence(unsigned attempt, std::uint64_t content_digest = digest) const
     {
         auto out = command(attempt);
-        out.mutable_fence()->set_request_digest(content);
+        out.mutable_fence()->set_request_digest(content_digest);
         return out;
     }
 
@@ -145,14 +145,14 @@
     EXPECT_EQ(apply(fence(4, digest + 1)), messages::claim_other_request);
 }
 
-TEST_F(claim_table_test, fence_before_the_start_wins)
+TEST_F(claim_table_test, start_after_its_fence_is_refused)
 {
     EXPECT_EQ(apply(fence(1)), messages::claim_granted);
     EXPECT_EQ(apply(start(1)), messages::claim_fenced);
     EXPECT_EQ(apply(start(2)), messages::claim_granted);
 }
 
-TEST_F(claim_table_test, look_up_tells_and_changes_nothing)
+TEST_F(claim_table_test, look_up_reports_the_state_and_changes_nothing)
 {
     auto look_up = command(9);
     look_up.mutable_look_up();
@@ -171,7 +171,7 @@
     EXPECT_EQ(apply(fence(2, 0)), messages::claim_already_finished);
 }
 
-TEST_F(claim_table_test, fence_after_the_start_proves_nothing)
+TEST_F(claim_table_test, fence_after_the_start_is_not_granted)
 {
     apply(start(1));
     EXPECT_EQ(apply(fence(1)), messages::claim_in_progress);
@@ -190,7 +190,7 @@
     EXPECT_EQ(table.counts().running, 1U);
 }
 
-TEST_F(claim_table_test, operator_settles_only_the_holder_that_was_seen)
+TEST_F(claim_table_test, operator_resolves_only_the_named_holder)
 {
     auto ran = command(1);
     ran.mutable_resolve()->mutable_answer()->set_status(201);
@@ -237,7 +237,7 @@
     EXPECT_EQ(apply(start(2)), messages::claim_in_progress);
 }
 
-TEST_F(claim_table_test, late_start_is_refused_after_its_fence_was_forgotten)
+TEST_F(claim_table_test, late_start_is_refused_after_its_fence_was_removed)
 {
     EXPECT_EQ(apply(fence(1)), messages::claim_granted);
     now_ms += limits.attempt_lifetime_ms + 1;
@@ -247,17 +247,17 @@
 
 TEST_F(claim_table_test, fence_outlives_an_attempt_from_a_fast_clock)
 {
-    const auto ahead_ms = limits.attempt_lifetime_ms / 2;
+    const auto clock_lead_ms = limits.attempt_lifetime_ms / 2;
     auto given_up = fence(1);
-    *given_up.mutable_by() = attempt_of(1, ahead_ms);
+    *given_up.mutable_by() = attempt_of(1, clock_lead_ms);
     EXPECT_EQ(apply(given_up), messages::claim_granted);
     now_ms += limits.attempt_lifetime_ms + 1;
     auto late = start(1);
-    *late.mutable_by() = attempt_of(1, ahead_ms);
+    *late.mutable_by() = attempt_of(1, clock_lead_ms);
     EXPECT_EQ(apply(late), messages::claim_fenced);
 }
 
-TEST_F(claim_table_test, finished_key_is_forgotten_after_its_retention)
+TEST_F(claim_table_test, finished_key_is_removed_after_its_retention)
 {
     apply(start(1));
     apply(finish(1));
@@ -281,17 +281,17 @@
     EXPECT_EQ(table.counts().finished, 1U);
 }
 
-TEST_F(claim_table_test, catching_up_after_a_quiet_spell_keeps_fresh_outcomes)
+TEST_F(claim_table_test, log_time_catch_up_after_idle_keeps_recent_outcomes)
 {
     table = claim_table(claim_limits{.max_time_step_ms = 1000});
     apply(fence(9));
     now_ms += 3 * limits.retention_ms;
-    auto mine = start(1);
-    *mine.mutable_by() = attempt_of(1, now_ms - start_ms);
-    apply(mine);
-    mine = finish(1);
-    *mine.mutable_by() = attempt_of(1, now_ms - start_ms);
-    EXPECT_EQ(apply(mine), messages::claim_granted);
+    auto recent = start(1);
+    *recent.mutable_by() = attempt_of(1, now_ms - start_ms);
+    apply(recent);
+    recent = finish(1);
+    *recent.mutable_by() = attempt_of(1, now_ms - start_ms);
+    EXPECT_EQ(apply(recent), messages::claim_granted);
     for (std::uint64_t step = 0; step < 3 * limits.retention_ms; step += 1000)
     {
         apply(command(2));
@@ -300,7 +300,7 @@
     EXPECT_EQ(table.counts().finished, 1U);
 }
 
-TEST_F(claim_table_test, short_memory_drops_bodies_before_it_refuses_keys)
+TEST_F(claim_table_test, answer_limit_drops_oldest_bodies_and_keeps_keys)
 {
     claim_limits limits;
     limits.max_answer_bytes = 500;
@@ -322,7 +322,7 @@
     EXPECT_FALSE(table.find(key_of("other")).answer().body_dropped());
 }
 
-TEST_F(claim_table_test, full_table_refuses_new_keys_and_forgets_none)
+TEST_F(claim_table_test, full_table_refuses_new_keys_and_removes_none)
 {
     claim_limits limits;
     limits.max_bytes = 300;
--- a/nutmegusher/execution/execution_guard.cpp
+++ b/nutmegusher/execution/execution_guard.cpp
@@ -8,18 +8,18 @@
 namespace
 {
 
-told_outcome not_run(outcome_reason why)
+reported_outcome not_run(outcome_reason reason)
 {
-    return {call_outcome::not_run, why, std::nullopt};
+    return {call_outcome::not_run, reason, std::nullopt};
 }
 
-told_outcome unknown(outcome_reason why)
+reported_outcome unknown(outcome_reason reason)
 {
-    return {call_outcome::unknown, why, std::nullopt};
+    return {call_outcome::unknown, reason, std::nullopt};
 }
 
 // Two copies of an attempt in one process must not pass for one another.
-std::uint64_t next_execution()
+std::uint64_t next_execution_id()
 {
     static std::atomic<std::uint64_t> last = 0;
     return ++last;
@@ -27,7 +27,7 @@
 
 // By a verdict that says the attempt doesn't hold the claim and never will, or
 // that nothing is known.
-told_outcome conclude_refusal(const messages::claim_result& result)
+reported_outcome outcome_of_refusal(const messages::claim_result& result)
 {
     switch (result.verdict())
     {
@@ -48,21 +48,21 @@
 
 } // namespace
 
-told_outcome conclude_fence(const messages::claim_result& result)
+reported_outcome outcome_of_fence(const messages::claim_result& result)
 {
     if (result.verdict() == messages::claim_granted)
     {
         return not_run(outcome_reason::connection_lost);
     }
-    return conclude_refusal(result);
+    return outcome_of_refusal(result);
 }
 
-execution_guard::execution_guard(execution_terms terms)
-    : terms_(std::move(terms))
+execution_guard::execution_guard(execution_request request)
+    : request_(std::move(request))
 {
-    if (terms_.executor.execution() == 0)
+    if (request_.executor.execution() == 0)
     {
-        terms_.executor.set_execution(next_execution());
+        request_.executor.set_execution(next_execution_id());
     }
 }
 
@@ -72,7 +72,7 @@
     {
         return {};
     }
-    if (now >= terms_.deadline)
+    if (now >= request_.deadline)
     {
         return end(not_run(outcome_reason::deadline));
     }
@@ -83,21 +83,22 @@
 guard_step execution_guard::claim_replied(
     time_point now,
     std::uint64_t wall_ms,
-    messages::claim_command::ActionCase asked,
+    messages::claim_command::ActionCase proposed_action,
     const messages::claim_result& result)
 {
-    const bool open =
+    const bool awaiting_start_verdict =
         state_ == guard_state::claiming || state_ == guard_state::releasing;
-    if (asked == messages::claim_command::kStart && open)
+    if (proposed_action == messages::claim_command::kStart &&
+        awaiting_start_verdict)
     {
         return start_replied(now, wall_ms, result);
     }
-    if (asked == messages::claim_command::kRelease &&
+    if (proposed_action == messages::claim_command::kRelease &&
         state_ == guard_state::releasing)
     {
         return release_replied(now, wall_ms, result);
     }
-    if (asked == messages::claim_command::kFinish &&
+    if (proposed_action == messages::claim_command::kFinish &&
         state_ == guard_state::finishing)
     {
         if (result.verdict() == messages::claim_unavailable)
@@ -118,7 +119,7 @@
     }
     if (result.verdict() == messages::claim_unavailable)
     {
-        return state_ == guard_state::claiming ? claim_lost(now, wall_ms)
+        return state_ == guard_state::claiming ? claim_reply_lost(now, wall_ms)
                                                : guard_step{};
     }
     if (granted_)
@@ -126,7 +127,7 @@
         // A verdict on a second copy of the start; the first one counts.
         return {};
     }
-    return end(conclude_refusal(result));
+    return end(outcome_of_refusal(result));
 }
 
 guard_step execution_guard::granted(time_point now, std::uint64_t wall_ms)
@@ -137,9 +138,9 @@
         // The release is on its way.
         return {};
     }
-    if (now >= terms_.deadline)
+    if (now >= request_.deadline)
     {
-        return give_up(wall_ms, outcome_reason::deadline);
+        return abandon(wall_ms, outcome_reason::deadline);
     }
     state_ = guard_state::running;
     guard_step step;
@@ -147,16 +148,17 @@
     return step;
 }
 
-guard_step execution_guard::claim_lost(time_point now, std::uint64_t wall_ms)
+guard_step
+execution_guard::claim_reply_lost(time_point now, std::uint64_t wall_ms)
 {
     switch (state_)
     {
     case guard_state::claiming:
-        return now < terms_.deadline
+        return now < request_.deadline
                    ? propose_start(wall_ms)
-                   : give_up(wall_ms, outcome_reason::claims_unavailable);
+                   : abandon(wall_ms, outcome_reason::claims_unavailable);
     case guard_state::releasing:
-        return release_again(now, wall_ms);
+        return retry_release(now, wall_ms);
     case guard_state::finishing:
         return propose_finish(wall_ms);
     default:
@@ -164,14 +166,14 @@
     }
 }
 
-guard_step execution_guard::cancel(std::uint64_t wall_ms, outcome_reason why)
+guard_step execution_guard::cancel(std::uint64_t wall_ms, outcome_reason reason)
 {
     switch (state_)
     {
     case guard_state::admitted:
-        return end(not_run(why));
+        return end(not_run(reason));
     case guard_state::claiming:
-        return give_up(wall_ms, why);
+        return abandon(wall_ms, reason);
     default:
         return {};
     }
@@ -189,28 +191,29 @@
     auto step = propose_finish(wall_ms);
     // The answer is the outcome whether or not it gets recorded: if it doesn't,
     // the claim stays as running and nobody else starts.
-    tell(step, {call_outcome::completed, outcome_reason::none, std::nullopt});
+    report(step, {call_outcome::completed, outcome_reason::none, std::nullopt});
     return step;
 }
 
 guard_step execution_guard::call_refused(std::uint64_t wall_ms)
 {
     return state_ == guard_state::running
-               ? give_up(wall_ms, outcome_reason::upstream_refused)
+               ? abandon(wall_ms, outcome_reason::upstream_refused)
                : guard_step{};
 }
 
-guard_step execution_guard::call_broken()
+guard_step execution_guard::call_incomplete()
 {
     return state_ == guard_state::running
                ? end(unknown(outcome_reason::connection_lost))
                : guard_step{};
 }
 
-guard_step execution_guard::give_up(std::uint64_t wall_ms, outcome_reason why)
+guard_step
+execution_guard::abandon(std::uint64_t wall_ms, outcome_reason reason)
 {
     state_ = guard_state::releasing;
-    release_reason_ = why;
+    release_reason_ = reason;
     return propose_release(wall_ms);
 }
 
@@ -222,7 +225,7 @@
     case messages::claim_granted:
         return end(not_run(release_reason_));
     case messages::claim_unavailable:
-        return release_again(now, wall_ms);
+        return retry_release(now, wall_ms);
     default:
         // Another copy of the attempt holds the claim.
         return end(
@@ -233,12 +236,12 @@
 
 // Resent until it is confirmed, so that the key becomes free; the caller isn't
 // kept waiting for that.
-guard_step execution_guard::release_again(time_point now, std::uint64_t wall_ms)
+guard_step execution_guard::retry_release(time_point now, std::uint64_t wall_ms)
 {
     auto step = propose_release(wall_ms);
-    if (now >= terms_.deadline + terms_.release_grace)
+    if (now >= request_.deadline + request_.release_grace)
     {
-        tell(
+        report(
             step,
             granted_ ? not_run(release_reason_)
                      : unknown(outcome_reason::claims_unavailable));
@@ -249,9 +252,9 @@
 messages::claim_command execution_guard::command(std::uint64_t wall_ms) const
 {
     messages::claim_command out;
-    *out.mutable_key() = terms_.key;
-    *out.mutable_by() = terms_.by;
-    *out.mutable_executor() = terms_.executor;
+    *out.mutable_key() = request_.key;
+    *out.mutable_by() = request_.by;
+    *out.mutable_executor() = request_.executor;
     out.set_proposed_at_ms(wall_ms);
     return out;
 }
@@ -260,7 +263,7 @@
 {
     guard_step step;
     step.propose = command(wall_ms);
-    step.propose->mutable_start()->set_request_digest(terms_.request_digest);
+    step.propose->mutable_start()->set_request_digest(request_.request_digest);
     return step;
 }
 
@@ -280,19 +283,19 @@
     return step;
 }
 
-void execution_guard::tell(guard_step& step, told_outcome outcome)
+void execution_guard::report(guard_step& step, reported_outcome outcome)
 {
-    if (!std::exchange(told_, true))
+    if (!std::exchange(reported_, true))
     {
-        step.tell = std::move(outcome);
+        step.report = std::move(outcome);
     }
 }
 
-guard_step execution_guard::end(told_outcome outcome)
+guard_step execution_guard::end(reported_outcome outcome)
 {
     state_ = guard_state::ended;
     guard_step step;
-    tell(step, std::move(outcome));
+    report(step, std::move(outcome));
     return step;
 }
 
--- a/nutmegusher/execution/execution_guard.hpp
+++ b/nutmegusher/execution/execution_guard.hpp
@@ -12,7 +12,7 @@
 {
 
 // One call, as the daemon beside the upstream received it.
-struct execution_terms
+struct execution_request
 {
     messages::claim_key key;
     messages::attempt by;
@@ -48,7 +48,7 @@
     connection_lost
 };
 
-struct told_outcome
+struct reported_outcome
 {
     call_outcome outcome = call_outcome::unknown;
     outcome_reason reason = outcome_reason::none;
@@ -61,7 +61,7 @@
 {
     std::optional<messages::claim_command> propose;
     bool start_call = false;
-    std::optional<told_outcome> tell;
+    std::optional<reported_outcome> report;
 };
 
 // Where a call stands.
@@ -90,32 +90,32 @@
 // claim stays, so it never runs again | | running: the upstream vouches that it
 // had no effect | as releasing |
 //
-//     execution_guard guard(terms);
+//     execution_guard guard(request);
 //     perform(guard.begin(now, wall_ms));
 //
 // An answer to a proposal which doesn't come in time is reported with
-// `claim_lost`; the proposal is then made again, which is idempotent. The
+// `claim_reply_lost`; the proposal is then made again, which is idempotent. The
 // caller of these functions spaces out such resends. For one thread.
 class execution_guard
 {
 public:
-    explicit execution_guard(execution_terms terms);
+    explicit execution_guard(execution_request request);
 
     // `wall_ms` in all of these: the host's wall time in ms since 1970.
     guard_step begin(time_point now, std::uint64_t wall_ms);
 
-    // The verdict on a proposal; `asked` is what was proposed.
+    // The verdict on a proposal; `proposed_action` is what was proposed.
     guard_step claim_replied(
         time_point now,
         std::uint64_t wall_ms,
-        messages::claim_command::ActionCase asked,
+        messages::claim_command::ActionCase proposed_action,
         const messages::claim_result& result);
 
-    guard_step claim_lost(time_point now, std::uint64_t wall_ms);
+    guard_step claim_reply_lost(time_point now, std::uint64_t wall_ms);
 
     // The caller doesn't want it any more, or its time is over. A call that
     // runs isn't touched: report its end when it has one.
-    guard_step cancel(std::uint64_t wall_ms, outcome_reason why);
+    guard_step cancel(std::uint64_t wall_ms, outcome_reason reason);
 
     // The upstream gave its whole answer. Bodies too large to keep come as a
     // digest.
@@ -126,7 +126,7 @@
     guard_step call_refused(std::uint64_t wall_ms);
 
     // The call was handed over, and its answer isn't whole.
-    guard_step call_broken();
+    guard_step call_incomplete();
 
     [[nodiscard]] guard_state state() const
     {
@@ -154,24 +154,25 @@
         time_point now,
         std::uint64_t wall_ms,
         const messages::claim_result& result);
-    guard_step release_again(time_point now, std::uint64_t wall_ms);
-    guard_step give_up(std::uint64_t wall_ms, outcome_reason why);
+    guard_step retry_release(time_point now, std::uint64_t wall_ms);
+    guard_step abandon(std::uint64_t wall_ms, outcome_reason reason);
 
     // Tells once; later calls tell nothing.
-    void tell(guard_step& step, told_outcome outcome);
-    guard_step end(told_outcome outcome);
+    void report(guard_step& step, reported_outcome outcome);
+    guard_step end(reported_outcome outcome);
 
-    execution_terms terms_;
+    execution_request request_;
     guard_state state_ = guard_state::admitted;
     bool granted_ = false;
-    bool told_ = false;
+    bool reported_ = false;
     outcome_reason release_reason_ = outcome_reason::none;
     messages::stored_answer answer_;
 };
 
 // What an entry daemon that lost contact with the executor may tell its caller,
 // by the verdict on its fence.
-[[nodiscard]] told_outcome conclude_fence(const messages::claim_result& result);
+[[nodiscard]] reported_outcome
+outcome_of_fence(const messages::claim_result& result);
 
 } // namespace nutmegusher
 
--- a/nutmegusher/execution/execution_guard_test.cpp
+++ b/nutmegusher/execution/execution_guard_test.cpp
@@ -17,9 +17,9 @@
 class execution_guard_test : public ::testing::Test
 {
 protected:
-    static execution_terms terms()
+    static execution_request request()
     {
-        execution_terms out;
+        execution_request out;
         out.key.set_idempotency_key("k");
         out.by.set_sequence(7);
         out.executor.set_execution(3);
@@ -28,8 +28,8 @@
         return out;
     }
 
-    guard_step
-    reply(action asked, messages::claim_verdict verdict, time_point at)
+    guard_step reply(
+        action proposed_action, messages::claim_verdict verdict, time_point at)
     {
         messages::claim_result result;
         result.set_verdict(verdict);
@@ -37,7 +37,7 @@
         {
             result.mutable_answer()->set_body("first");
         }
-        return guard.claim_replied(at, wall_ms, asked, result);
+        return guard.claim_replied(at, wall_ms, proposed_action, result);
     }
 
     guard_step start_replied(messages::claim_verdict verdict)
@@ -52,15 +52,15 @@
         EXPECT_TRUE(start_replied(messages::claim_granted).start_call);
     }
 
-    execution_guard guard{terms()};
+    execution_guard guard{request()};
 };
 
-void expect_told(
+void expect_reported(
     const guard_step& step, call_outcome outcome, outcome_reason reason)
 {
-    ASSERT_TRUE(step.tell);
-    EXPECT_EQ(step.tell->outcome, outcome);
-    EXPECT_EQ(step.tell->reason, reason);
+    ASSERT_TRUE(step.report);
+    EXPECT_EQ(step.report->outcome, outcome);
+    EXPECT_EQ(step.report->reason, reason);
 }
 
 TEST_F(execution_guard_test, starts_only_with_the_claim)
@@ -74,9 +74,11 @@
     EXPECT_EQ(guard.state(), guard_state::running);
 }
 
-TEST_F(execution_guard_test, copies_of_an_attempt_in_a_process_are_told_apart)
+TEST_F(
+    execution_guard_test,
+    copies_of_an_attempt_in_a_process_get_distinct_execution_ids)
 {
-    auto copied = terms();
+    auto copied = request();
     copied.executor.clear_execution();
     copied.by.set_sequence(attempt_sequence().next(wall_ms));
     execution_guard one(copied);
@@ -96,18 +98,18 @@
 {
     const auto step = guard.begin(deadline, wall_ms);
     EXPECT_FALSE(step.propose);
-    expect_told(step, call_outcome::not_run, outcome_reason::deadline);
+    expect_reported(step, call_outcome::not_run, outcome_reason::deadline);
 }
 
-TEST_F(execution_guard_test, frozen_until_after_the_deadline_it_releases)
+TEST_F(execution_guard_test, grant_received_after_the_deadline_is_released)
 {
     guard.begin(start_time, wall_ms);
     const auto late = reply(action::kStart, messages::claim_granted, deadline);
     EXPECT_FALSE(late.start_call);
     ASSERT_TRUE(late.propose);
     EXPECT_TRUE(late.propose->has_release());
-    EXPECT_FALSE(late.tell);
-    expect_told(
+    EXPECT_FALSE(late.report);
+    expect_reported(
         reply(action::kRelease, messages::claim_granted, deadline),
         call_outcome::not_run,
         outcome_reason::deadline);
@@ -115,7 +117,7 @@
 
 TEST_F(execution_guard_test, cancelled_before_the_claim_is_not_run)
 {
-    expect_told(
+    expect_reported(
         guard.cancel(wall_ms, outcome_reason::cancelled),
         call_outcome::not_run,
         outcome_reason::cancelled);
@@ -129,46 +131,46 @@
     ASSERT_TRUE(step.propose);
     EXPECT_TRUE(step.propose->has_release());
     EXPECT_FALSE(start_replied(messages::claim_granted).start_call);
-    expect_told(
+    expect_reported(
         reply(action::kRelease, messages::claim_granted, start_time),
         call_outcome::not_run,
         outcome_reason::cancelled);
 }
 
-TEST_F(execution_guard_test, lost_claim_answers_are_asked_for_again)
+TEST_F(execution_guard_test, start_is_proposed_again_after_a_lost_reply)
 {
     guard.begin(start_time, wall_ms);
-    const auto again = guard.claim_lost(start_time, wall_ms);
+    const auto again = guard.claim_reply_lost(start_time, wall_ms);
     ASSERT_TRUE(again.propose);
     EXPECT_TRUE(again.propose->has_start());
-    const auto late = guard.claim_lost(deadline, wall_ms);
+    const auto late = guard.claim_reply_lost(deadline, wall_ms);
     ASSERT_TRUE(late.propose);
     EXPECT_TRUE(late.propose->has_release());
-    EXPECT_FALSE(late.tell);
+    EXPECT_FALSE(late.report);
 }
 
 TEST_F(execution_guard_test, unconfirmed_release_without_a_grant_is_unknown)
 {
     guard.begin(start_time, wall_ms);
-    guard.claim_lost(deadline, wall_ms);
-    const auto step = guard.claim_lost(after_grace, wall_ms);
+    guard.claim_reply_lost(deadline, wall_ms);
+    const auto step = guard.claim_reply_lost(after_grace, wall_ms);
     EXPECT_TRUE(step.propose);
-    expect_told(
+    expect_reported(
         step, call_outcome::unknown, outcome_reason::claims_unavailable);
-    EXPECT_FALSE(guard.claim_lost(after_grace, wall_ms).tell);
+    EXPECT_FALSE(guard.claim_reply_lost(after_grace, wall_ms).report);
 }
 
 TEST_F(execution_guard_test, unconfirmed_release_after_a_grant_is_not_run)
 {
     guard.begin(start_time, wall_ms);
     reply(action::kStart, messages::claim_granted, deadline);
-    expect_told(
-        guard.claim_lost(after_grace, wall_ms),
+    expect_reported(
+        guard.claim_reply_lost(after_grace, wall_ms),
         call_outcome::not_run,
         outcome_reason::deadline);
 }
 
-TEST_F(execution_guard_test, refusals_tell_what_the_verdict_proves)
+TEST_F(execution_guard_test, refused_start_reports_what_the_verdict_implies)
 {
     struct expectation
     {
@@ -192,11 +194,11 @@
          outcome_reason::claims_unavailable}};
     for (const auto& expected : all)
     {
-        guard = execution_guard(terms());
+        guard = execution_guard(request());
         guard.begin(start_time, wall_ms);
         const auto step = start_replied(expected.verdict);
         EXPECT_FALSE(step.start_call);
-        expect_told(step, expected.outcome, expected.reason);
+        expect_reported(step, expected.outcome, expected.reason);
         EXPECT_EQ(guard.state(), guard_state::ended);
     }
 }
@@ -205,69 +207,72 @@
 {
     guard.begin(start_time, wall_ms);
     const auto step = start_replied(messages::claim_already_finished);
-    expect_told(step, call_outcome::completed, outcome_reason::none);
-    EXPECT_EQ(step.tell->answer->body(), "first");
+    expect_reported(step, call_outcome::completed, outcome_reason::none);
+    EXPECT_EQ(step.report->answer->body(), "first");
 }
 
 TEST_F(
-    execution_guard_test, answer_is_told_at_once_and_recorded_until_confirmed)
+    execution_guard_test,
+    answer_is_reported_at_once_and_its_recording_is_retried)
 {
     run();
     messages::stored_answer answer;
     answer.set_status(201);
     const auto step = guard.call_completed(wall_ms, answer);
-    expect_told(step, call_outcome::completed, outcome_reason::none);
+    expect_reported(step, call_outcome::completed, outcome_reason::none);
     EXPECT_EQ(step.propose->finish().answer().status(), 201U);
-    const auto again = guard.claim_lost(after_grace, wall_ms);
+    const auto again = guard.claim_reply_lost(after_grace, wall_ms);
     EXPECT_EQ(again.propose->finish().answer().status(), 201U);
-    EXPECT_FALSE(again.tell);
+    EXPECT_FALSE(again.report);
     reply(action::kFinish, messages::claim_granted, after_grace);
     EXPECT_EQ(guard.state(), guard_state::ended);
 }
 
-TEST_F(execution_guard_test, broken_call_is_unknown_and_keeps_the_claim)
+TEST_F(execution_guard_test, incomplete_call_is_unknown_and_keeps_the_claim)
 {
     run();
-    const auto step = guard.call_broken();
+    const auto step = guard.call_incomplete();
     EXPECT_FALSE(step.propose);
-    expect_told(step, call_outcome::unknown, outcome_reason::connection_lost);
+    expect_reported(
+        step, call_outcome::unknown, outcome_reason::connection_lost);
 }
 
-TEST_F(execution_guard_test, running_call_is_not_cancelled_into_not_run)
+TEST_F(execution_guard_test, cancel_does_not_affect_a_running_call)
 {
     run();
     const auto step = guard.cancel(wall_ms, outcome_reason::cancelled);
-    EXPECT_FALSE(step.tell);
+    EXPECT_FALSE(step.report);
     EXPECT_FALSE(step.propose);
     EXPECT_EQ(guard.state(), guard_state::running);
 }
 
-TEST_F(execution_guard_test, upstream_that_vouches_for_no_effect_frees_the_key)
+TEST_F(execution_guard_test, call_refused_by_the_upstream_releases_the_key)
 {
     run();
     const auto step = guard.call_refused(wall_ms);
     ASSERT_TRUE(step.propose);
     EXPECT_TRUE(step.propose->has_release());
-    expect_told(
+    expect_reported(
         reply(action::kRelease, messages::claim_granted, start_time),
         call_outcome::not_run,
         outcome_reason::upstream_refused);
 }
 
-TEST(conclude_fence, says_not_run_only_where_the_fence_holds)
+TEST(outcome_of_fence, reports_not_run_only_when_the_attempt_cannot_run)
 {
-    const auto told = [](messages::claim_verdict verdict)
+    const auto reported = [](messages::claim_verdict verdict)
     {
         messages::claim_result result;
         result.set_verdict(verdict);
-        return conclude_fence(result).outcome;
+        return outcome_of_fence(result).outcome;
     };
-    EXPECT_EQ(told(messages::claim_granted), call_outcome::not_run);
-    EXPECT_EQ(told(messages::claim_other_request), call_outcome::not_run);
-    EXPECT_EQ(told(messages::claim_in_progress), call_outcome::unknown);
-    EXPECT_EQ(told(messages::claim_already_finished), call_outcome::completed);
-    EXPECT_EQ(told(messages::claim_attempt_expired), call_outcome::unknown);
-    EXPECT_EQ(told(messages::claim_unavailable), call_outcome::unknown);
+    EXPECT_EQ(reported(messages::claim_granted), call_outcome::not_run);
+    EXPECT_EQ(reported(messages::claim_other_request), call_outcome::not_run);
+    EXPECT_EQ(reported(messages::claim_in_progress), call_outcome::unknown);
+    EXPECT_EQ(
+        reported(messages::claim_already_finished), call_outcome::completed);
+    EXPECT_EQ(reported(messages::claim_attempt_expired), call_outcome::unknown);
+    EXPECT_EQ(reported(messages::claim_unavailable), call_outcome::unknown);
 }
 
 } // namespace
--- a/nutmegusher/execution/execution_property_test.cpp
+++ b/nutmegusher/execution/execution_property_test.cpp
@@ -3,7 +3,7 @@
 // The same run with one mechanism switched off breaks the oracle; that shows
 // that the run reaches the failures which the mechanism is for.
 #include "nutmegusher/execution/execution.hpp"
-#include "nutmegusher/execution/execution_world_test.hpp"
+#include "nutmegusher/execution/execution_simulation_test.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -13,14 +13,14 @@
 namespace
 {
 
-using testing_world::fault;
-using testing_world::world;
+using execution_simulation::fault;
+using execution_simulation::simulation;
 
 constexpr int steps = 200;
 
 RC_GTEST_PROP(execution_property, runs_at_most_once_and_not_run_is_true, ())
 {
-    world playing(
+    simulation simulated(
         fault::none,
         [](unsigned bound)
         {
@@ -28,8 +28,8 @@
         });
     for (int step = 0; step < steps; ++step)
     {
-        playing.step();
-        const auto problem = playing.violation();
+        simulated.step();
+        const auto problem = simulated.violation();
         if (problem)
         {
             RC_FAIL(*problem);
@@ -37,63 +37,63 @@
     }
 }
 
-struct tally
+struct simulation_counts
 {
     int violated = 0;
     std::size_t executed = 0;
 };
 
-tally play(fault off, int worlds)
+simulation_counts simulate(fault injected, int seeds)
 {
-    tally out;
-    for (int seed = 0; seed < worlds; ++seed)
+    simulation_counts out;
+    for (int seed = 0; seed < seeds; ++seed)
     {
         random_engine engine(static_cast<std::uint64_t>(seed));
-        world playing(
-            off,
+        simulation simulated(
+            injected,
             [&engine](unsigned bound)
             {
                 return static_cast<unsigned>(uniform_below(engine, bound));
             });
         for (int step = 0; step < steps; ++step)
         {
-            playing.step();
+            simulated.step();
         }
-        out.violated += playing.violation() ? 1 : 0;
-        out.executed += playing.executed();
+        out.violated += simulated.violation() ? 1 : 0;
+        out.executed += simulated.executed();
     }
     ::testing::Test::RecordProperty("violated", out.violated);
     ::testing::Test::RecordProperty("executed", static_cast<int>(out.executed));
     return out;
 }
 
-constexpr int world_count = 1000;
+constexpr int seed_count = 1000;
 
-TEST(execution_oracle, holds_and_calls_do_run)
+TEST(execution_oracle, finds_no_violation_while_calls_execute)
 {
-    const auto result = play(fault::none, world_count);
+    const auto result = simulate(fault::none, seed_count);
     EXPECT_EQ(result.violated, 0);
-    EXPECT_GT(result.executed, static_cast<std::size_t>(world_count) / 2);
+    EXPECT_GT(result.executed, static_cast<std::size_t>(seed_count) / 2);
 }
 
-TEST(execution_oracle, breaks_without_the_record_of_fences)
+TEST(execution_oracle, detects_fences_that_are_not_recorded)
 {
-    EXPECT_GT(play(fault::fence_ignored, world_count).violated, 0);
+    EXPECT_GT(simulate(fault::fence_ignored, seed_count).violated, 0);
 }
 
-TEST(execution_oracle, breaks_where_claims_pass_on_by_time)
+TEST(execution_oracle, detects_claims_that_expire)
 {
-    EXPECT_GT(play(fault::claim_expires, world_count).violated, 0);
+    EXPECT_GT(simulate(fault::claim_expires, seed_count).violated, 0);
 }
 
-TEST(execution_oracle, breaks_where_a_lost_answer_counts_as_a_grant)
+TEST(execution_oracle, detects_a_lost_reply_that_counts_as_a_grant)
 {
-    EXPECT_GT(play(fault::start_without_answer, world_count).violated, 0);
+    EXPECT_GT(simulate(fault::start_without_answer, seed_count).violated, 0);
 }
 
-TEST(execution_oracle, breaks_where_copies_of_an_attempt_share_a_claim)
+TEST(execution_oracle, detects_copies_of_an_attempt_that_share_a_claim)
 {
-    EXPECT_GT(play(fault::copies_share_claim, world_count).violated, 0);
+    EXPECT_GT(simulate(fault::copies_share_claim, seed_count).violated, 0);
 }
 
 } // namespace
--- a/nutmegusher/execution/execution_world_test.hpp
+++ b/nutmegusher/execution/execution_simulation_test.hpp
@@ -1,8 +1,8 @@
 // Guards and the claim table together, with lost, late and repeated messages,
 // copies of attempts, crashes and frozen executors, and the oracle that judges
 // them. For tests only.
-#ifndef NUTMEGUSHER_EXECUTION_EXECUTION_WORLD_TEST_HPP
-#define NUTMEGUSHER_EXECUTION_EXECUTION_WORLD_TEST_HPP
+#ifndef NUTMEGUSHER_EXECUTION_EXECUTION_SIMULATION_TEST_HPP
+#define NUTMEGUSHER_EXECUTION_EXECUTION_SIMULATION_TEST_HPP
 
 #include "nutmegusher/execution/execution.hpp"
 
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-namespace nutmegusher::testing_world
+namespace nutmegusher::execution_simulation
 {
 
 using action = messages::claim_command::ActionCase;
@@ -47,7 +47,7 @@
 
 struct executor
 {
-    execution_terms terms;
+    execution_request request;
     execution_guard guard;
     bool alive = true;
     // The upstream had the call, and doesn't vouch that it did nothing.
@@ -63,11 +63,11 @@
 };
 
 // One run: each step is an event chosen by `choose`.
-class world
+class simulation
 {
 public:
-    world(fault off, chooser choose)
-        : off_(off)
+    simulation(fault injected, chooser choose)
+        : injected_(injected)
         , choose_(std::move(choose))
     {
     }
@@ -89,33 +89,33 @@
         case 7:
             return deliver_reply();
         case 8:
-            return lose_message();
+            return drop_message();
         case 9:
             return with_executor(
-                [this](std::size_t which)
+                [this](std::size_t index)
                 {
-                    lost(which);
+                    handle_lost_reply(index);
                 });
         case 10:
             return with_executor(
-                [this](std::size_t which)
+                [this](std::size_t index)
                 {
-                    end(which);
+                    end_call(index);
                 });
         case 11:
             return with_executor(
-                [this](std::size_t which)
+                [this](std::size_t index)
                 {
-                    disturb(which);
+                    crash_resolve_or_cancel(index);
                 });
         case 12:
             return with_executor(
-                [this](std::size_t which)
+                [this](std::size_t index)
                 {
-                    fence(which);
+                    fence(index);
                 });
         default:
-            return pass_time();
+            return advance_time();
         }
     }
 
@@ -129,16 +129,16 @@
             {
                 continue;
             }
-            if (!ran_keys.insert(one.terms.key.idempotency_key()).second)
+            if (!ran_keys.insert(one.request.key.idempotency_key()).second)
             {
                 return "executed twice";
             }
-            if (not_run_.contains(one.terms.by.sequence()))
+            if (not_run_.contains(one.request.by.sequence()))
             {
                 return "ran after 'not run'";
             }
         }
-        return wrong_answer_;
+        return other_violation_;
     }
 
     [[nodiscard]] std::size_t executed() const
@@ -163,31 +163,31 @@
 
     void new_attempt()
     {
-        execution_terms terms;
-        terms.key.set_idempotency_key(std::to_string(choose_(key_count)));
-        terms.request_digest = 1 + choose_(digest_count);
-        terms.by.set_entry_host("entry");
-        terms.by.set_sequence(sequence_.next(wall_ms_));
-        add(terms);
+        execution_request request;
+        request.key.set_idempotency_key(std::to_string(choose_(key_count)));
+        request.request_digest = 1 + choose_(digest_count);
+        request.by.set_entry_host("entry");
+        request.by.set_sequence(sequence_.next(wall_ms_));
+        add(request);
     }
 
     void copy_attempt()
     {
         with_executor(
-            [this](std::size_t which)
+            [this](std::size_t index)
             {
-                add(executors_[which].terms);
+                add(executors_[index].request);
             });
     }
 
-    void add(execution_terms terms)
+    void add(execution_request request)
     {
-        terms.executor.set_host("executor");
-        terms.executor.set_execution(executors_.size() + 1);
-        terms.deadline = now_ + std::chrono::seconds(2);
-        executors_.push_back({terms, execution_guard(terms)});
-        const auto which = executors_.size() - 1;
-        perform(which, executors_[which].guard.begin(now_, wall_ms_));
+        request.executor.set_host("executor");
+        request.executor.set_execution(executors_.size() + 1);
+        request.deadline = now_ + std::chrono::seconds(2);
+        executors_.push_back({request, execution_guard(request)});
+        const auto index = executors_.size() - 1;
+        perform(index, executors_[index].guard.begin(now_, wall_ms_));
     }
 
     void deliver()
@@ -203,18 +203,18 @@
 
     messages::claim_result apply(messages::claim_command command)
     {
-        if (off_ == fault::copies_share_claim)
+        if (injected_ == fault::copies_share_claim)
         {
             command.clear_executor();
         }
-        if (off_ == fault::fence_ignored && command.has_fence())
+        if (injected_ == fault::fence_ignored && command.has_fence())
         {
-            messages::claim_result pretended;
-            pretended.set_verdict(messages::claim_granted);
-            return pretended;
+            messages::claim_result simulated_result;
+            simulated_result.set_verdict(messages::claim_granted);
+            return simulated_result;
         }
         auto result = table_.apply(command);
-        if (off_ == fault::claim_expires && command.has_start() &&
+        if (injected_ == fault::claim_expires && command.has_start() &&
             result.verdict() == messages::claim_in_progress)
         {
             drop_claim(command.key());
@@ -231,8 +231,8 @@
         {
             messages::claim_command release;
             *release.mutable_key() = key;
-            *release.mutable_by() = one.terms.by;
-            *release.mutable_executor() = one.terms.executor;
+            *release.mutable_by() = one.request.by;
+            *release.mutable_executor() = one.request.executor;
             release.mutable_release();
             table_.apply(release);
         }
@@ -252,7 +252,7 @@
         }
         if (found.command.has_fence())
         {
-            tell(found.executor, conclude_fence(*found.reply), true);
+            report(found.executor, outcome_of_fence(*found.reply), true);
             return;
         }
         auto& one = executors_[found.executor];
@@ -265,7 +265,7 @@
         }
     }
 
-    void lose_message()
+    void drop_message()
     {
         if (!messages_.empty())
         {
@@ -273,26 +273,26 @@
         }
     }
 
-    void lost(std::size_t which)
+    void handle_lost_reply(std::size_t index)
     {
-        auto& one = executors_[which];
+        auto& one = executors_[index];
         if (!one.alive)
         {
             return;
         }
-        if (off_ == fault::start_without_answer &&
+        if (injected_ == fault::start_without_answer &&
             one.guard.state() == guard_state::claiming)
         {
             one.executed = true;
             return;
         }
-        perform(which, one.guard.claim_lost(now_, wall_ms_));
+        perform(index, one.guard.claim_reply_lost(now_, wall_ms_));
     }
 
     // The call at the upstream comes to an end.
-    void end(std::size_t which)
+    void end_call(std::size_t index)
     {
-        auto& one = executors_[which];
+        auto& one = executors_[index];
         if (!one.alive || one.guard.state() != guard_state::running)
         {
             return;
@@ -301,69 +301,69 @@
         {
         case 0:
             one.executed = false;
-            return perform(which, one.guard.call_refused(wall_ms_));
+            return perform(index, one.guard.call_refused(wall_ms_));
         case 1:
-            return perform(which, one.guard.call_broken());
+            return perform(index, one.guard.call_incomplete());
         default:
             messages::stored_answer answer;
-            answer.set_body(std::to_string(which));
-            return perform(which, one.guard.call_completed(wall_ms_, answer));
+            answer.set_body(std::to_string(index));
+            return perform(index, one.guard.call_completed(wall_ms_, answer));
         }
     }
 
-    void disturb(std::size_t which)
+    void crash_resolve_or_cancel(std::size_t index)
     {
-        auto& one = executors_[which];
-        const auto how = choose_(3);
-        if (how == 0)
+        auto& one = executors_[index];
+        const auto choice = choose_(3);
+        if (choice == 0)
         {
             one.alive = false;
         }
-        else if (how == 1)
+        else if (choice == 1)
         {
-            resolve(which);
+            resolve(index);
         }
         else if (one.alive)
         {
             perform(
-                which, one.guard.cancel(wall_ms_, outcome_reason::cancelled));
+                index, one.guard.cancel(wall_ms_, outcome_reason::cancelled));
         }
     }
 
     // An operator who knows what a crashed executor did.
-    void resolve(std::size_t which)
+    void resolve(std::size_t index)
     {
-        const auto& one = executors_[which];
+        const auto& one = executors_[index];
         if (one.alive)
         {
             return;
         }
         messages::claim_command command;
-        *command.mutable_key() = one.terms.key;
-        *command.mutable_by() = one.terms.by;
-        *command.mutable_executor() = one.terms.executor;
+        *command.mutable_key() = one.request.key;
+        *command.mutable_by() = one.request.by;
+        *command.mutable_executor() = one.request.executor;
         command.set_proposed_at_ms(wall_ms_);
         command.mutable_resolve();
         if (one.executed)
         {
             command.mutable_resolve()->mutable_answer()->set_body(
-                std::to_string(which));
+                std::to_string(index));
         }
         table_.apply(command);
     }
 
-    void fence(std::size_t which)
+    void fence(std::size_t index)
     {
-        const auto& terms = executors_[which].terms;
+        const auto& request = executors_[index].request;
         messages::claim_command command;
-        *command.mutable_key() = terms.key;
-        *command.mutable_by() = terms.by;
+        *command.mutable_key() = request.key;
+        *command.mutable_by() = request.by;
         command.set_proposed_at_ms(wall_ms_);
-        command.mutable_fence()->set_request_digest(terms.request_digest);
-        messages_.push_back({which, command, std::nullopt});
+        command.mutable_fence()->set_request_digest(request.request_digest);
+        messages_.push_back({index, command, std::nullopt});
     }
 
-    void pass_time()
+    void advance_time()
     {
         const auto step = 1 + choose_(600);
         now_ += std::chrono::milliseconds(step);
@@ -371,44 +371,46 @@
         const auto restored = claim_table::restore(table_.snapshot());
         if (restored && restored->snapshot() != table_.snapshot())
         {
-            wrong_answer_ = "a restored table differs";
+            other_violation_ = "a restored table differs";
         }
     }
 
-    void perform(std::size_t which, const guard_step& step)
+    void perform(std::size_t index, const guard_step& step)
     {
-        auto& one = executors_[which];
+        auto& one = executors_[index];
         if (step.propose)
         {
             one.claimed = true;
-            messages_.push_back({which, *step.propose, std::nullopt});
+            messages_.push_back({index, *step.propose, std::nullopt});
         }
         if (step.start_call)
         {
             one.executed = true;
         }
-        if (step.tell)
+        if (step.report)
         {
-            tell(which, *step.tell, one.claimed);
+            report(index, *step.report, one.claimed);
         }
     }
 
-    void tell(std::size_t which, const told_outcome& told, bool claimed)
+    void
+    report(std::size_t index, const reported_outcome& reported, bool claimed)
     {
-        const auto& terms = executors_[which].terms;
-        if (told.outcome == call_outcome::not_run && claimed)
+        const auto& request = executors_[index].request;
+        if (reported.outcome == call_outcome::not_run && claimed)
         {
-            not_run_.insert(terms.by.sequence());
+            not_run_.insert(request.by.sequence());
         }
-        if (told.answer)
+        if (reported.answer)
         {
-            const auto& source = executors_[std::stoul(told.answer->body())];
+            const auto& source =
+                executors_[std::stoul(reported.answer->body())];
             if (!source.executed ||
-                source.terms.request_digest != terms.request_digest ||
-                source.terms.key.idempotency_key() !=
-                    terms.key.idempotency_key())
+                source.request.request_digest != request.request_digest ||
+                source.request.key.idempotency_key() !=
+                    request.key.idempotency_key())
             {
-                wrong_answer_ = "the answer to another request";
+                other_violation_ = "the answer to another request";
             }
         }
     }
@@ -418,7 +420,7 @@
         return static_cast<unsigned>(list.size());
     }
 
-    fault off_;
+    fault injected_;
     chooser choose_;
     claim_table table_{small_limits()};
     attempt_sequence sequence_;
@@ -427,9 +429,9 @@
     std::vector<executor> executors_;
     std::vector<message> messages_;
     std::set<std::uint64_t> not_run_;
-    std::optional<std::string> wrong_answer_;
+    std::optional<std::string> other_violation_;
 };
 
-} // namespace nutmegusher::testing_world
+} // namespace nutmegusher::execution_simulation
 
 #endif
--- a/nutmegusher/execution/request_digest.cpp
+++ b/nutmegusher/execution/request_digest.cpp
@@ -7,7 +7,7 @@
 namespace nutmegusher
 {
 
-void request_digest::free_state::operator()(XXH64_state_s* state) const
+void request_digest::state_deleter::operator()(XXH64_state_s* state) const
 {
     XXH64_freeState(state);
 }
@@ -25,9 +25,9 @@
     }
 }
 
-void request_digest::update(std::string_view piece)
+void request_digest::update(std::string_view chunk)
 {
-    XXH64_update(state_.get(), piece.data(), piece.size());
+    XXH64_update(state_.get(), chunk.data(), chunk.size());
 }
 
 std::uint64_t request_digest::value() const
--- a/nutmegusher/execution/request_digest.hpp
+++ b/nutmegusher/execution/request_digest.hpp
@@ -16,7 +16,7 @@
 // is fed in as it streams by; how it is cut into pieces doesn't matter.
 //
 //     request_digest digest("POST", "/disbursement/pay");
-//     digest.update(piece);
+//     digest.update(chunk);
 //     const auto value = digest.value();
 //
 // Not cryptographic: a customer who looks for two bodies with one digest only
@@ -26,19 +26,19 @@
 public:
     request_digest(std::string_view method, std::string_view path);
 
-    void update(std::string_view piece);
+    void update(std::string_view chunk);
 
     // Of all that was fed in so far; the same on every host and build. Never 0,
     // which stands for any request in a fence.
     [[nodiscard]] std::uint64_t value() const;
 
 private:
-    struct free_state
+    struct state_deleter
     {
         void operator()(XXH64_state_s* state) const;
     };
 
-    std::unique_ptr<XXH64_state_s, free_state> state_;
+    std::unique_ptr<XXH64_state_s, state_deleter> state_;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/execution/request_digest_test.cpp
+++ b/nutmegusher/execution/request_digest_test.cpp
@@ -12,17 +12,17 @@
 std::uint64_t digest_of(
     std::string_view method,
     std::string_view path,
-    std::initializer_list<std::string_view> pieces)
+    std::initializer_list<std::string_view> chunks)
 {
     request_digest digest(method, path);
-    for (const auto piece : pieces)
+    for (const auto chunk : chunks)
     {
-        digest.update(piece);
+        digest.update(chunk);
     }
     return digest.value();
 }
 
-TEST(request_digest, ignores_how_the_body_is_cut)
+TEST(request_digest, is_independent_of_body_chunking)
 {
     EXPECT_EQ(
         digest_of("POST", "/pay", {"amount=", "10"}),
--- a/nutmegusher/execution/request_ledger.cpp
+++ b/nutmegusher/execution/request_ledger.cpp
@@ -17,46 +17,47 @@
 }
 
 request_ledger::running_request request_ledger::open(
-    const request_id& id, request_terms terms, retry_tokens tokens)
+    const request_id& id, request_context context, retry_tokens tokens)
 {
-    const auto brought = tokens.count();
-    auto& home = shard_of(id);
-    const std::scoped_lock lock(home.mutex);
-    auto& found = home.entries[id];
+    const auto received_tokens = tokens.count();
+    auto& locked_shard = shard_of(id);
+    const std::scoped_lock lock(locked_shard.mutex);
+    auto& found = locked_shard.entries[id];
     if (found.running == 0)
     {
-        found.terms = std::move(terms);
+        found.context = std::move(context);
     }
     else
     {
-        found.terms.deadline = std::max(found.terms.deadline, terms.deadline);
+        found.context.deadline =
+            std::max(found.context.deadline, context.deadline);
     }
     ++found.running;
     found.available.put(std::move(tokens));
-    return {*this, id, brought};
+    return {*this, id, received_tokens};
 }
 
 std::optional<request_ledger::sub_call> request_ledger::begin_sub_call(
     const request_id& id, std::uint32_t wanted_tokens)
 {
-    auto& home = shard_of(id);
-    const std::scoped_lock lock(home.mutex);
-    const auto found = home.entries.find(id);
-    if (found == home.entries.end())
+    auto& locked_shard = shard_of(id);
+    const std::scoped_lock lock(locked_shard.mutex);
+    const auto found = locked_shard.entries.find(id);
+    if (found == locked_shard.entries.end())
     {
         return std::nullopt;
     }
     auto tokens = found->second.available.take(wanted_tokens);
-    return sub_call(*this, id, found->second.terms, std::move(tokens));
+    return sub_call(*this, id, found->second.context, std::move(tokens));
 }
 
 std::size_t request_ledger::size() const
 {
     std::size_t total = 0;
-    for (const auto& home : shards_)
+    for (const auto& locked_shard : shards_)
     {
-        const std::scoped_lock lock(home.mutex);
-        total += home.entries.size();
+        const std::scoped_lock lock(locked_shard.mutex);
+        total += locked_shard.entries.size();
     }
     return total;
 }
@@ -64,10 +65,10 @@
 std::uint64_t request_ledger::available_tokens() const
 {
     std::uint64_t total = 0;
-    for (const auto& home : shards_)
+    for (const auto& locked_shard : shards_)
     {
-        const std::scoped_lock lock(home.mutex);
-        for (const auto& [id, value] : home.entries)
+        const std::scoped_lock lock(locked_shard.mutex);
+        for (const auto& [id, value] : locked_shard.entries)
         {
             total += value.available.count();
         }
@@ -77,38 +78,39 @@
 
 // The last one of an id takes all that is left; an earlier one at most what it
 // brought, so that the others keep theirs.
-retry_tokens request_ledger::close(const request_id& id, std::uint32_t brought)
+retry_tokens
+request_ledger::close(const request_id& id, std::uint32_t received_tokens)
 {
-    auto& home = shard_of(id);
-    const std::scoped_lock lock(home.mutex);
-    const auto found = home.entries.find(id);
+    auto& locked_shard = shard_of(id);
+    const std::scoped_lock lock(locked_shard.mutex);
+    const auto found = locked_shard.entries.find(id);
     auto& value = found->second;
     --value.running;
     if (value.running > 0)
     {
-        return value.available.take(brought);
+        return value.available.take(received_tokens);
     }
     auto left = std::move(value.available);
-    home.entries.erase(found);
+    locked_shard.entries.erase(found);
     return left;
 }
 
 void request_ledger::put_back(const request_id& id, retry_tokens tokens)
 {
-    auto& home = shard_of(id);
-    const std::scoped_lock lock(home.mutex);
-    const auto found = home.entries.find(id);
-    if (found != home.entries.end())
+    auto& locked_shard = shard_of(id);
+    const std::scoped_lock lock(locked_shard.mutex);
+    const auto found = locked_shard.entries.find(id);
+    if (found != locked_shard.entries.end())
     {
         found->second.available.put(std::move(tokens));
     }
 }
 
 request_ledger::running_request::running_request(
-    request_ledger& ledger, request_id id, std::uint32_t brought)
+    request_ledger& ledger, request_id id, std::uint32_t received_tokens)
     : ledger_(&ledger)
     , id_(std::move(id))
-    , brought_(brought)
+    , received_tokens_(received_tokens)
 {
 }
 
@@ -116,7 +118,7 @@
     running_request&& other) noexcept
     : ledger_(std::exchange(other.ledger_, nullptr))
     , id_(std::move(other.id_))
-    , brought_(other.brought_)
+    , received_tokens_(other.received_tokens_)
 {
 }
 
@@ -128,17 +130,18 @@
 retry_tokens request_ledger::running_request::finish()
 {
     auto* const ledger = std::exchange(ledger_, nullptr);
-    return ledger != nullptr ? ledger->close(id_, brought_) : retry_tokens();
+    return ledger != nullptr ? ledger->close(id_, received_tokens_)
+                             : retry_tokens();
 }
 
 request_ledger::sub_call::sub_call(
     request_ledger& ledger,
     request_id id,
-    request_terms terms,
+    request_context context,
     retry_tokens tokens)
     : ledger_(&ledger)
     , id_(std::move(id))
-    , terms_(std::move(terms))
+    , context_(std::move(context))
     , tokens_(std::move(tokens))
 {
 }
@@ -146,7 +149,7 @@
 request_ledger::sub_call::sub_call(sub_call&& other) noexcept
     : ledger_(std::exchange(other.ledger_, nullptr))
     , id_(std::move(other.id_))
-    , terms_(std::move(other.terms_))
+    , context_(std::move(other.context_))
     , tokens_(std::move(other.tokens_))
 {
 }
--- a/nutmegusher/execution/request_ledger.hpp
+++ b/nutmegusher/execution/request_ledger.hpp
@@ -17,7 +17,7 @@
 {
 
 // What a sub-call inherits from the request that it is a part of.
-struct request_terms
+struct request_context
 {
     std::uint32_t rank = 0;
     time_point deadline;
@@ -29,7 +29,7 @@
 // A sub-call names the request's id and gets its terms and some of its retry
 // tokens; one with an unknown id gets nothing.
 //
-//     auto running = ledger.open(id, terms, retry_tokens::received(2));
+//     auto running = ledger.open(id, context, retry_tokens::received(2));
 //     if (auto sub_call = ledger.begin_sub_call(id, 1)) { ... }
 //     answer.retry_tokens = running.finish().send();
 //
@@ -50,7 +50,7 @@
     explicit request_ledger(std::size_t shards = default_shards);
 
     [[nodiscard]] running_request
-    open(const request_id& id, request_terms terms, retry_tokens tokens);
+    open(const request_id& id, request_context context, retry_tokens tokens);
 
     // Takes at most `wanted_tokens` of those that are left. Empty where no
     // request of this id runs here.
@@ -66,7 +66,7 @@
 private:
     struct entry
     {
-        request_terms terms;
+        request_context context;
         retry_tokens available;
         std::size_t running = 0;
     };
@@ -78,7 +78,7 @@
     };
 
     shard& shard_of(const request_id& id);
-    retry_tokens close(const request_id& id, std::uint32_t brought);
+    retry_tokens close(const request_id& id, std::uint32_t received_tokens);
     void put_back(const request_id& id, retry_tokens tokens);
 
     std::vector<shard> shards_;
@@ -104,11 +104,11 @@
     friend class request_ledger;
 
     running_request(
-        request_ledger& ledger, request_id id, std::uint32_t brought);
+        request_ledger& ledger, request_id id, std::uint32_t received_tokens);
 
     request_ledger* ledger_;
     request_id id_;
-    std::uint32_t brought_;
+    std::uint32_t received_tokens_;
 };
 
 // A call that a running request makes. The tokens which it still holds at its
@@ -122,9 +122,9 @@
     sub_call& operator=(const sub_call&) = delete;
     ~sub_call();
 
-    [[nodiscard]] const request_terms& terms() const
+    [[nodiscard]] const request_context& context() const
     {
-        return terms_;
+        return context_;
     }
 
     // To spend, to send along with a try, and to put back what its answer
@@ -140,12 +140,12 @@
     sub_call(
         request_ledger& ledger,
         request_id id,
-        request_terms terms,
+        request_context context,
         retry_tokens tokens);
 
     request_ledger* ledger_;
     request_id id_;
-    request_terms terms_;
+    request_context context_;
     retry_tokens tokens_;
 };
 
--- a/nutmegusher/execution/request_ledger_property_test.cpp
+++ b/nutmegusher/execution/request_ledger_property_test.cpp
@@ -22,8 +22,8 @@
 struct call
 {
     std::size_t target = 0;
-    std::uint32_t carried = 0;
-    lent_tokens lent{0};
+    std::uint32_t in_request = 0;
+    outstanding_tokens outstanding{0};
     std::shared_ptr<request_ledger::sub_call> origin;
     std::optional<request_ledger::running_request> running;
     std::optional<std::uint32_t> answer;
@@ -50,53 +50,53 @@
 
     void begin(std::size_t daemon, std::uint32_t wanted)
     {
-        auto made = ledgers_[daemon]->begin_sub_call(shared_id, wanted);
-        if (made)
+        auto created = ledgers_[daemon]->begin_sub_call(shared_id, wanted);
+        if (created)
         {
-            sub_calls_.push_back(
-                std::make_shared<request_ledger::sub_call>(std::move(*made)));
+            sub_calls_.push_back(std::make_shared<request_ledger::sub_call>(
+                std::move(*created)));
             all_sub_calls_.emplace_back(sub_calls_.back());
         }
     }
 
-    void spend(std::size_t which)
+    void spend(std::size_t index)
     {
         if (!sub_calls_.empty())
         {
-            auto& origin = sub_calls_[which % sub_calls_.size()];
+            auto& origin = sub_calls_[index % sub_calls_.size()];
             spent_ += origin->tokens().spend() ? 1 : 0;
         }
     }
 
-    void send(std::size_t which, std::size_t target)
+    void send(std::size_t index, std::size_t target)
     {
         if (sub_calls_.empty())
         {
             return;
         }
-        auto made = std::make_unique<call>();
-        made->origin = sub_calls_[which % sub_calls_.size()];
-        made->target = target;
-        made->carried = made->origin->tokens().send();
-        made->lent = lent_tokens(made->carried);
-        calls_.push_back(std::move(made));
+        auto created = std::make_unique<call>();
+        created->origin = sub_calls_[index % sub_calls_.size()];
+        created->target = target;
+        created->in_request = created->origin->tokens().send();
+        created->outstanding = outstanding_tokens(created->in_request);
+        calls_.push_back(std::move(created));
     }
 
-    void deliver(std::size_t which)
+    void deliver(std::size_t index)
     {
-        if (auto* found = pick(which);
+        if (auto* found = pick(index);
             found != nullptr && !found->running && !found->answer)
         {
             found->running.emplace(ledgers_[found->target]->open(
                 shared_id,
                 {},
-                retry_tokens::received(std::exchange(found->carried, 0))));
+                retry_tokens::received(std::exchange(found->in_request, 0))));
         }
     }
 
-    void answer(std::size_t which)
+    void answer(std::size_t index)
     {
-        if (auto* found = pick(which); found != nullptr && found->running)
+        if (auto* found = pick(index); found != nullptr && found->running)
         {
             found->answer = found->running->finish().send();
             found->in_answer = *found->answer;
@@ -105,32 +105,33 @@
     }
 
     // The same answer may come again: it isn't taken off the network.
-    void receive_answer(std::size_t which)
+    void receive_answer(std::size_t index)
     {
-        if (auto* found = pick(which); found != nullptr && found->answer)
+        if (auto* found = pick(index); found != nullptr && found->answer)
         {
             found->in_answer = 0;
-            found->origin->tokens().put(found->lent.bring_back(*found->answer));
+            found->origin->tokens().put(
+                found->outstanding.reclaim(*found->answer));
         }
     }
 
-    void lose(std::size_t which)
+    void drop_call(std::size_t index)
     {
         if (!calls_.empty())
         {
             calls_.erase(
                 calls_.begin() +
-                static_cast<std::ptrdiff_t>(which % calls_.size()));
+                static_cast<std::ptrdiff_t>(index % calls_.size()));
         }
     }
 
-    void end_sub_call(std::size_t which)
+    void end_sub_call(std::size_t index)
     {
         if (!sub_calls_.empty())
         {
             sub_calls_.erase(
                 sub_calls_.begin() +
-                static_cast<std::ptrdiff_t>(which % sub_calls_.size()));
+                static_cast<std::ptrdiff_t>(index % sub_calls_.size()));
         }
     }
 
@@ -149,7 +150,7 @@
         }
         for (const auto& one : calls_)
         {
-            sum += one->carried + one->in_answer;
+            sum += one->in_request + one->in_answer;
         }
         return sum;
     }
@@ -160,9 +161,9 @@
     }
 
 private:
-    call* pick(std::size_t which)
+    call* pick(std::size_t index)
     {
-        return calls_.empty() ? nullptr : calls_[which % calls_.size()].get();
+        return calls_.empty() ? nullptr : calls_[index % calls_.size()].get();
     }
 
     std::vector<std::unique_ptr<request_ledger>> ledgers_;
@@ -175,7 +176,8 @@
     std::uint64_t spent_ = 0;
 };
 
-void play(call_tree& tree, unsigned action, std::size_t one, std::size_t two)
+void apply_action(
+    call_tree& tree, unsigned action, std::size_t one, std::size_t two)
 {
     switch (action)
     {
@@ -192,7 +194,7 @@
     case 5:
         return tree.receive_answer(one);
     case 6:
-        return tree.lose(one);
+        return tree.drop_call(one);
     default:
         return tree.end_sub_call(one);
     }
@@ -209,7 +211,7 @@
         const auto action = *rc::gen::inRange(0U, actions);
         const auto one = *rc::gen::inRange<std::size_t>(0, 12);
         const auto two = *rc::gen::inRange<std::size_t>(0, 12);
-        play(tree, action, one, two);
+        apply_action(tree, action, one, two);
         // They may get lost, and never come from nowhere.
         RC_ASSERT(tree.total() <= previous);
         previous = tree.total();
--- a/nutmegusher/execution/request_ledger_test.cpp
+++ b/nutmegusher/execution/request_ledger_test.cpp
@@ -12,7 +12,7 @@
 
 const request_id some_id("r-1");
 
-request_terms terms_until(duration after)
+request_context context_until(duration after)
 {
     return {
         .rank = 2,
@@ -21,7 +21,7 @@
         .work_class = class_name("payout")};
 }
 
-TEST(retry_tokens, are_moved_and_never_made)
+TEST(retry_tokens, are_moved_and_never_created)
 {
     auto minted = retry_tokens::mint(3);
     auto taken = minted.take(5);
@@ -33,26 +33,26 @@
     EXPECT_EQ(minted.count(), 2U);
 }
 
-TEST(lent_tokens, bring_back_no_more_than_was_sent_and_only_once)
+TEST(outstanding_tokens, are_reclaimed_only_once_and_up_to_what_was_sent)
 {
-    lent_tokens lent(2);
-    EXPECT_EQ(lent.bring_back(9).count(), 2U);
-    EXPECT_EQ(lent.bring_back(2).count(), 0U);
+    outstanding_tokens outstanding(2);
+    EXPECT_EQ(outstanding.reclaim(9).count(), 2U);
+    EXPECT_EQ(outstanding.reclaim(2).count(), 0U);
 }
 
 TEST(request_ledger, sub_call_inherits_the_terms)
 {
     request_ledger ledger;
     auto running = ledger.open(
-        some_id, terms_until(std::chrono::seconds(5)), retry_tokens::mint(2));
+        some_id, context_until(std::chrono::seconds(5)), retry_tokens::mint(2));
     const auto call = ledger.begin_sub_call(some_id, 1);
     ASSERT_TRUE(call);
-    EXPECT_EQ(call->terms().rank, 2U);
-    EXPECT_EQ(call->terms().customer, customer_id("relief"));
-    EXPECT_EQ(call->terms().deadline, time_point(std::chrono::seconds(5)));
+    EXPECT_EQ(call->context().rank, 2U);
+    EXPECT_EQ(call->context().customer, customer_id("relief"));
+    EXPECT_EQ(call->context().deadline, time_point(std::chrono::seconds(5)));
 }
 
-TEST(request_ledger, unknown_or_ended_id_gets_nothing)
+TEST(request_ledger, sub_call_of_an_unknown_or_ended_id_is_refused)
 {
     request_ledger ledger;
     EXPECT_FALSE(ledger.begin_sub_call(some_id, 1));
@@ -98,17 +98,17 @@
     EXPECT_EQ(ledger.available_tokens(), 0U);
 }
 
-TEST(request_ledger, requests_in_a_circle_share_tokens_and_the_latest_deadline)
+TEST(request_ledger, recursive_requests_share_tokens_and_the_latest_deadline)
 {
     request_ledger ledger;
     auto outer = ledger.open(
-        some_id, terms_until(std::chrono::seconds(1)), retry_tokens::mint(2));
+        some_id, context_until(std::chrono::seconds(1)), retry_tokens::mint(2));
     auto inner = ledger.open(
         some_id,
-        terms_until(std::chrono::seconds(2)),
+        context_until(std::chrono::seconds(2)),
         retry_tokens::received(1));
     EXPECT_EQ(
-        ledger.begin_sub_call(some_id, 0)->terms().deadline,
+        ledger.begin_sub_call(some_id, 0)->context().deadline,
         time_point(std::chrono::seconds(2)));
     EXPECT_EQ(inner.finish().count(), 1U);
     EXPECT_EQ(outer.finish().count(), 2U);
--- a/nutmegusher/execution/retry_tokens.hpp
+++ b/nutmegusher/execution/retry_tokens.hpp
@@ -90,16 +90,16 @@
 
 // Remembers what a call took along, so that its answer brings back no more
 // than that, and only once.
-class lent_tokens
+class outstanding_tokens
 {
 public:
-    explicit lent_tokens(std::uint32_t sent)
+    explicit outstanding_tokens(std::uint32_t sent)
         : sent_(sent)
     {
     }
 
     // `answered`: what the answer claims to bring back.
-    retry_tokens bring_back(std::uint32_t answered)
+    retry_tokens reclaim(std::uint32_t answered)
     {
         const auto sent = std::exchange(sent_, 0);
         return retry_tokens::received(std::min(answered, sent));
--- a/nutmegusher/node/claim_filter.cpp
+++ b/nutmegusher/node/claim_filter.cpp
@@ -76,9 +76,9 @@
         std::chrono::milliseconds(100), call.time_left() / 2);
 }
 
-execution_terms terms_of(const peer_call& call)
+execution_request terms_of(const peer_call& call)
 {
-    execution_terms terms;
+    execution_request terms;
     terms.key.set_customer(call.terms.customer.str());
     terms.key.set_class_name(call.terms.work_class.str());
     terms.key.set_idempotency_key(call.terms.key);
@@ -110,9 +110,9 @@
         auto step = guard_.begin(host_clock().now(), wall_milliseconds());
         while (true)
         {
-            if (step.tell)
+            if (step.report)
             {
-                co_await tell(*step.tell);
+                co_await tell(*step.report);
             }
             if (step.start_call)
             {
@@ -162,7 +162,8 @@
         asio::steady_timer pause(co_await asio::this_coro::executor);
         pause.expires_after(resend_pause);
         co_await pause.async_wait(asio::use_awaitable);
-        co_return guard_.claim_lost(host_clock().now(), wall_milliseconds());
+        co_return guard_.claim_reply_lost(
+            host_clock().now(), wall_milliseconds());
     }
 
     asio::awaitable<guard_step> start()
@@ -181,7 +182,7 @@
         {
             co_return guard_.call_refused(wall_milliseconds());
         }
-        co_return guard_.call_broken();
+        co_return guard_.call_incomplete();
     }
 
     [[nodiscard]] bool refused_without_effect() const
@@ -191,7 +192,7 @@
                wire::find_header(head.fields, field::not_run) == "true";
     }
 
-    asio::awaitable<void> tell(const told_outcome& told)
+    asio::awaitable<void> tell(const reported_outcome& told)
     {
         if (told.outcome == call_outcome::completed)
         {
--- a/nutmegusher/node/entry_chain.cpp
+++ b/nutmegusher/node/entry_chain.cpp
@@ -187,7 +187,7 @@
             return;
         }
         call.part_of.emplace(*std::move(joined));
-        const auto& terms = call.part_of->terms();
+        const auto& terms = call.part_of->context();
         call.request = id;
         call.rank = static_cast<std::uint8_t>(terms.rank);
         call.deadline = std::min(call.deadline, terms.deadline);
--- a/nutmegusher/node/forward_filter.cpp
+++ b/nutmegusher/node/forward_filter.cpp
@@ -137,7 +137,7 @@
             failed.told.result = call_outcome::unknown;
             co_return false;
         }
-        const auto told = conclude_fence(*result);
+        const auto told = outcome_of_fence(*result);
         failed.told.result = told.outcome;
         failed.certainly_not_run = told.outcome == call_outcome::not_run;
         if (told.outcome != call_outcome::completed || !told.answer)
--- a/nutmegusher/node/forward_try.cpp
+++ b/nutmegusher/node/forward_try.cpp
@@ -354,7 +354,7 @@
     const auto back = wire::find_header(head.fields, field::retry_tokens);
     if (back && lent_)
     {
-        call_.tokens().put(lent_->bring_back(parse_count(*back).value_or(0)));
+        call_.tokens().put(lent_->reclaim(parse_count(*back).value_or(0)));
     }
     const auto text = wire::find_header(head.fields, field::admission_level);
     if (!text)
@@ -371,7 +371,7 @@
         call_.work_class->service, to_.handle, *levels, call_.work_class->bulk);
     if (call_.part_of)
     {
-        const auto root = call_.part_of->terms().work_class.str();
+        const auto root = call_.part_of->context().work_class.str();
         shared.pressure.on_sub_call_level(stable_hash(root), ahead);
     }
     else if (call_.origin == request_origin::caller)
--- a/nutmegusher/node/forward_try.hpp
+++ b/nutmegusher/node/forward_try.hpp
@@ -72,7 +72,7 @@
     messages::attempt attempt_;
     time_point started_;
     std::unique_ptr<wire::client_stream> stream_;
-    std::optional<lent_tokens> lent_;
+    std::optional<outstanding_tokens> lent_;
     // Runs while no answer has begun.
     std::unique_ptr<asio::steady_timer> slowness_;
     // A timer's handler may already be queued when the try ends.
--- a/nutmegusher/node/upstream_chain.cpp
+++ b/nutmegusher/node/upstream_chain.cpp
@@ -21,7 +21,7 @@
     template <class Next>
     asio::awaitable<void> operator()(peer_call& call, Next next)
     {
-        request_terms terms;
+        request_context terms;
         terms.rank = call.terms.rank;
         terms.deadline = call.terms.deadline;
         terms.customer = call.terms.customer;
