--- a/bench/capacity/measure_membership.cpp
+++ b/bench/capacity/measure_membership.cpp
@@ -201,7 +201,7 @@
 void measure_view(membership_slopes& out)
 {
     constexpr int choices = 200;
-    const place here{
+    const locality here{
         data_center_name("data-center-1"), region_name("region-1")};
     const service_name balances("balances");
     std::vector<sample> memory;
@@ -217,7 +217,7 @@
         }
         const auto before = allocated_bytes();
         upstream_view view(host_id("upstream-host-1"), here);
-        view.want(balances);
+        view.add_service(balances);
         view.apply(reply);
         memory.push_back(
             {size, static_cast<double>(allocated_bytes() - before)});
--- a/nutmegusher/membership/registry_index.hpp
+++ b/nutmegusher/membership/change_index.hpp
@@ -1,6 +1,6 @@
 // What changed since a stamp.
-#ifndef NUTMEGUSHER_MEMBERSHIP_REGISTRY_INDEX_HPP
-#define NUTMEGUSHER_MEMBERSHIP_REGISTRY_INDEX_HPP
+#ifndef NUTMEGUSHER_MEMBERSHIP_CHANGE_INDEX_HPP
+#define NUTMEGUSHER_MEMBERSHIP_CHANGE_INDEX_HPP
 
 #include "nutmegusher/base/base.hpp"
 
@@ -16,14 +16,14 @@
 
 // Hosts by the stamp of their last change, those that went included, each once.
 // The cost of asking is that of the answer.
-class registry_index
+class change_index
 {
 public:
     // One host's last change.
     struct change
     {
         std::string_view host;
-        bool gone = false;
+        bool removed = false;
     };
 
     // The host is here, and changed at `stamp`. Requires: stamps rise.
@@ -34,19 +34,19 @@
 
     // The same, whether or not it was here.
     void
-    put_removed(std::string_view host, std::uint64_t stamp, time_point now);
+    put_tombstone(std::string_view host, std::uint64_t stamp, time_point now);
 
     // As if it had never been here.
     void erase(std::string_view host);
 
     // Forgets those that went before `before`; readers with older stamps need a
     // complete list from then on.
-    void forget(time_point before);
+    void purge_tombstones(time_point before);
 
     // Whether a reader at `stamp` can be given changes only.
-    [[nodiscard]] bool reaches_back_to(std::uint64_t stamp) const
+    [[nodiscard]] bool covers_changes_since(std::uint64_t stamp) const
     {
-        return stamp >= forgotten_;
+        return stamp >= last_purged_stamp_;
     }
 
     [[nodiscard]] bool changed_since(std::uint64_t stamp) const
@@ -61,22 +61,22 @@
         for (auto at = by_stamp_.upper_bound(stamp); at != by_stamp_.end();
              ++at)
         {
-            use(change{at->second->first, at->second->second.gone});
+            use(change{at->second->first, at->second->second.removed});
         }
     }
 
     // Hosts that are here now.
     [[nodiscard]] std::size_t size() const
     {
-        return present_;
+        return present_count_;
     }
 
 private:
     struct state
     {
         std::uint64_t stamp = 0;
-        time_point gone_at;
-        bool gone = false;
+        time_point removed_at;
+        bool removed = false;
     };
 
     using host_map = std::unordered_map<std::string, state>;
@@ -85,8 +85,8 @@
 
     host_map hosts_;
     std::map<std::uint64_t, host_map::value_type*> by_stamp_;
-    std::size_t present_ = 0;
-    std::uint64_t forgotten_ = 0;
+    std::size_t present_count_ = 0;
+    std::uint64_t last_purged_stamp_ = 0;
 };
 
 } // namespace nutmegusher::internal
--- a/nutmegusher/membership/lease_registry.cpp
+++ b/nutmegusher/membership/lease_registry.cpp
@@ -35,18 +35,18 @@
     : self_(self.str())
     , epoch_(epoch)
     , options_(options)
-    , started_(now)
+    , started_at_(now)
 {
 }
 
-renewal
+renewal_result
 lease_registry::renew(time_point now, const messages::sync_request& request)
 {
     const auto [at, added] = entries_.try_emplace(request.host());
     auto& [host, value] = *at;
     if (request.incarnation() < value.incarnation)
     {
-        return renewal::stale_incarnation;
+        return renewal_result::stale_incarnation;
     }
     const bool restarted = request.incarnation() > value.incarnation;
     value.incarnation = request.incarnation();
@@ -66,7 +66,7 @@
     {
         set_record(host, value, request.own(), now);
     }
-    return renewal::accepted;
+    return renewal_result::accepted;
 }
 
 std::uint64_t lease_registry::known_incarnation(const std::string& host) const
@@ -75,7 +75,7 @@
     return found == entries_.end() ? 0 : found->second.incarnation;
 }
 
-void lease_registry::own(const std::string& host, entry& value)
+void lease_registry::own(const std::string& host, lease_entry& value)
 {
     value.owner = self_;
     owned_.put(host, ++stamp_);
@@ -83,7 +83,7 @@
 
 void lease_registry::set_record(
     const std::string& host,
-    entry& value,
+    lease_entry& value,
     const messages::upstream_record& record,
     time_point now)
 {
@@ -98,8 +98,8 @@
     {
         services_[before].remove(host, ++stamp_, now);
     }
-    upstreams_ += before.empty() ? 1 : 0;
-    upstreams_ -= after.empty() ? 1 : 0;
+    upstream_count_ += before.empty() ? 1 : 0;
+    upstream_count_ -= after.empty() ? 1 : 0;
     if (!after.empty())
     {
         services_[after].put(host, ++stamp_);
@@ -111,13 +111,13 @@
 }
 
 lease_registry::entry_map::iterator
-lease_registry::lose(entry_map::iterator at, time_point now)
+lease_registry::remove_entry(entry_map::iterator at, time_point now)
 {
     const auto& [host, value] = *at;
     if (!value.record.service().empty())
     {
         services_[value.record.service()].remove(host, ++stamp_, now);
-        --upstreams_;
+        --upstream_count_;
     }
     if (value.owner == self_)
     {
@@ -130,15 +130,15 @@
 lease_registry::end_lease(entry_map::iterator at, time_point now)
 {
     auto& [host, value] = *at;
-    if (value.other_owner.empty() || value.other_owner == self_)
+    if (value.fallback_owner.empty() || value.fallback_owner == self_)
     {
-        return lose(at, now);
+        return remove_entry(at, now);
     }
     if (value.owner == self_)
     {
         owned_.remove(host, ++stamp_, now);
     }
-    value.owner = std::exchange(value.other_owner, std::string());
+    value.owner = std::exchange(value.fallback_owner, std::string());
     // It is asked for all of its leases, as it won't speak of this one by
     // itself; should it have ended it as well, the lease runs out.
     owners_[value.owner].epoch = 0;
@@ -150,29 +150,29 @@
 {
     for (auto& [owner, state] : owners_)
     {
-        if (now - state.heard_at > options_.silent_owner_limit)
+        if (now - state.last_update_at > options_.owner_silence_timeout)
         {
-            let_run_out(now - options_.lease(), owner);
+            limit_expiry(now - options_.lease(), owner);
             // All of them are needed again, should it come back.
             state.epoch = 0;
         }
     }
-    end_handed_over(now);
-    end_leases(now);
-    if (now >= next_forget_)
+    end_handovers(now);
+    end_expired_leases(now);
+    if (now >= next_purge_at_)
     {
-        forget_removals(now);
+        purge_tombstones(now);
     }
     settle(now);
 }
 
-void lease_registry::end_leases(time_point now)
+void lease_registry::end_expired_leases(time_point now)
 {
-    if (now < next_expiry_)
+    if (now < earliest_expiry_)
     {
         return;
     }
-    next_expiry_ = time_point::max();
+    earliest_expiry_ = time_point::max();
     for (auto at = entries_.begin(); at != entries_.end();)
     {
         if (at->second.expires_at <= now)
@@ -180,25 +180,25 @@
             at = end_lease(at, now);
             continue;
         }
-        next_expiry_ = std::min(next_expiry_, at->second.expires_at);
+        earliest_expiry_ = std::min(earliest_expiry_, at->second.expires_at);
         ++at;
     }
 }
 
-void lease_registry::set_expiry(entry& value, time_point at)
+void lease_registry::set_expiry(lease_entry& value, time_point at)
 {
     value.expires_at = at;
-    next_expiry_ = std::min(next_expiry_, at);
+    earliest_expiry_ = std::min(earliest_expiry_, at);
 }
 
-void lease_registry::forget_removals(time_point now)
+void lease_registry::purge_tombstones(time_point now)
 {
-    next_forget_ = now + options_.removal_memory;
-    const auto before = now - options_.removal_memory;
-    owned_.forget(before);
+    next_purge_at_ = now + options_.tombstone_retention;
+    const auto before = now - options_.tombstone_retention;
+    owned_.purge_tombstones(before);
     for (auto& [service, index] : services_)
     {
-        index.forget(before);
+        index.purge_tombstones(before);
     }
 }
 
@@ -206,14 +206,14 @@
 // other control hosts had time to fill it, absence means nothing.
 void lease_registry::settle(time_point now)
 {
-    if (settled_stamp_ != 0 || now < started_ + options_.lease())
+    if (settled_stamp_ != 0 || now < started_at_ + options_.lease())
     {
         return;
     }
     const auto all = options_.other_control_hosts;
-    const bool waited = now >= started_ + options_.settle_limit;
-    const auto needed = waited ? all - all / 2 : all;
-    if (owners_.size() >= needed)
+    const bool timed_out = now >= started_at_ + options_.settle_timeout;
+    const auto required = timed_out ? all - all / 2 : all;
+    if (owners_.size() >= required)
     {
         settled_stamp_ = ++stamp_;
     }
@@ -234,7 +234,7 @@
         {
             const auto found = services_.find(service);
             return found != services_.end() &&
-                   !found->second.reaches_back_to(request.known_stamp());
+                   !found->second.covers_changes_since(request.known_stamp());
         });
 }
 
@@ -271,7 +271,7 @@
             since,
             [&](const auto& change)
             {
-                if (!change.gone)
+                if (!change.removed)
                 {
                     *reply.add_upstreams() =
                         entries_.at(std::string(change.host)).record;
@@ -303,16 +303,16 @@
 }
 
 messages::registry_update lease_registry::update(
-    time_point now, const messages::registry_exchange& asked) const
+    time_point now, const messages::registry_exchange& request) const
 {
     messages::registry_update out;
-    const bool complete = asked.known_epoch() != epoch_ ||
-                          !owned_.reaches_back_to(asked.known_stamp());
+    const bool complete = request.known_epoch() != epoch_ ||
+                          !owned_.covers_changes_since(request.known_stamp());
     owned_.for_each_since(
-        complete ? 0 : asked.known_stamp(),
+        complete ? 0 : request.known_stamp(),
         [&](const auto& change)
         {
-            if (!change.gone)
+            if (!change.removed)
             {
                 *out.add_leases() = lease_message(change.host, now);
             }
@@ -326,7 +326,7 @@
     out.set_complete(complete);
     out.set_epoch(epoch_);
     out.set_stamp(stamp_);
-    *out.mutable_rollout() = recent_own_rollout(now);
+    *out.mutable_rollout() = cached_own_rollout(now);
     return out;
 }
 
@@ -354,7 +354,7 @@
     auto& state = owners_[owner.str()];
     if (update.complete())
     {
-        let_run_out(now, owner.str());
+        limit_expiry(now, owner.str());
     }
     for (const auto& lease : update.leases())
     {
@@ -362,7 +362,7 @@
     }
     state.epoch = update.epoch();
     state.stamp = update.stamp();
-    state.heard_at = now;
+    state.last_update_at = now;
     state.rollout = update.rollout();
 }
 
@@ -373,7 +373,7 @@
 {
     if (lease.ended())
     {
-        apply_end(now, owner, lease.host());
+        apply_lease_end(now, owner, lease.host());
         return;
     }
     const auto lease_ms = to_ms(options_.lease());
@@ -384,33 +384,33 @@
     const auto renewed_at = now - std::chrono::milliseconds(lease.age_ms());
     const auto [at, added] = entries_.try_emplace(lease.host());
     auto& [host, value] = *at;
-    const bool mine = value.owner == self_;
-    const bool heard_later_here = value.incarnation == lease.incarnation() &&
-                                  value.owner != owner &&
-                                  renewed_at <= value.renewed_at;
-    const bool is_earlier_run = lease.incarnation() < value.incarnation;
-    if (!added && (heard_later_here || is_earlier_run))
-    {
-        if (!is_earlier_run)
+    const bool owned_here = value.owner == self_;
+    const bool renewed_later_here = value.incarnation == lease.incarnation() &&
+                                    value.owner != owner &&
+                                    renewed_at <= value.renewed_at;
+    const bool is_earlier_incarnation = lease.incarnation() < value.incarnation;
+    if (!added && (renewed_later_here || is_earlier_incarnation))
+    {
+        if (!is_earlier_incarnation)
         {
-            value.other_owner = owner;
+            value.fallback_owner = owner;
         }
-        if (mine)
+        if (owned_here)
         {
-            assert_ownership(host);
+            reannounce(host);
         }
         return;
     }
-    if (mine)
+    if (owned_here)
     {
         owned_.erase(host);
-        handed_over_.push_back({now, host});
+        handovers_.push_back({now, host});
     }
     if (value.owner != owner)
     {
-        value.other_owner = added || value.incarnation < lease.incarnation()
-                                ? std::string()
-                                : value.owner;
+        value.fallback_owner = added || value.incarnation < lease.incarnation()
+                                   ? std::string()
+                                   : value.owner;
     }
     value.owner = owner;
     value.incarnation = lease.incarnation();
@@ -428,7 +428,7 @@
     }
 }
 
-void lease_registry::apply_end(
+void lease_registry::apply_lease_end(
     time_point now, const std::string& owner, const std::string& host)
 {
     const auto found = entries_.find(host);
@@ -437,13 +437,13 @@
         return;
     }
     auto& value = found->second;
-    if (value.other_owner == owner)
+    if (value.fallback_owner == owner)
     {
-        value.other_owner.clear();
+        value.fallback_owner.clear();
     }
     if (value.owner == self_)
     {
-        assert_ownership(host);
+        reannounce(host);
         return;
     }
     if (value.owner != owner)
@@ -455,7 +455,7 @@
 
 // Others may believe another owner: it is said again that the daemon lives
 // here.
-void lease_registry::assert_ownership(const std::string& host)
+void lease_registry::reannounce(const std::string& host)
 {
     owned_.put(host, ++stamp_);
 }
@@ -463,24 +463,24 @@
 // The new owner announces a daemon that moved. Only when it had time for that,
 // the old one says that its own lease ended, for those who hear just the old
 // one.
-void lease_registry::end_handed_over(time_point now)
+void lease_registry::end_handovers(time_point now)
 {
-    while (!handed_over_.empty() &&
-           handed_over_.front().at + options_.lease() <= now)
+    while (!handovers_.empty() &&
+           handovers_.front().at + options_.lease() <= now)
     {
-        const auto& host = handed_over_.front().host;
+        const auto& host = handovers_.front().host;
         const auto found = entries_.find(host);
         if (found == entries_.end() || found->second.owner != self_)
         {
-            owned_.put_removed(host, ++stamp_, now);
+            owned_.put_tombstone(host, ++stamp_, now);
         }
-        handed_over_.pop_front();
+        handovers_.pop_front();
     }
 }
 
 // Daemons whose owner can't vouch for them any more have one lease's time to
 // renew with another one.
-void lease_registry::let_run_out(time_point now, const std::string& owner)
+void lease_registry::limit_expiry(time_point now, const std::string& owner)
 {
     for (auto& [host, value] : entries_)
     {
@@ -494,7 +494,7 @@
 
 void lease_registry::remove_owner(time_point now, const host_id& owner)
 {
-    let_run_out(now, owner.str());
+    limit_expiry(now, owner.str());
     owners_.erase(owner.str());
 }
 
@@ -512,7 +512,7 @@
 }
 
 const messages::rollout_summary&
-lease_registry::recent_own_rollout(time_point now) const
+lease_registry::cached_own_rollout(time_point now) const
 {
     constexpr duration max_age = std::chrono::milliseconds(250);
     if (now - own_rollout_at_ >= max_age)
@@ -539,7 +539,7 @@
     registry_counts out;
     out.leases = entries_.size();
     out.owned = owned_.size();
-    out.upstreams = upstreams_;
+    out.upstreams = upstream_count_;
     out.services = services_.size();
     out.stamp = stamp_;
     out.settled = settled_stamp_ != 0;
--- a/nutmegusher/membership/lease_registry.hpp
+++ b/nutmegusher/membership/lease_registry.hpp
@@ -3,7 +3,7 @@
 #define NUTMEGUSHER_MEMBERSHIP_LEASE_REGISTRY_HPP
 
 #include "nutmegusher/base/base.hpp"
-#include "nutmegusher/membership/registry_index.hpp"
+#include "nutmegusher/membership/change_index.hpp"
 #include "nutmegusher/membership/rollout_tally.hpp"
 #include "nutmegusher/messages/sync.pb.h"
 
@@ -26,15 +26,15 @@
     // How long the leases of a silent control host are kept. Silence proves
     // nothing about its daemons, so this is longer than the hour for which
     // regions lose each other.
-    duration silent_owner_limit = std::chrono::hours(2);
+    duration owner_silence_timeout = std::chrono::hours(2);
     // How long "it is gone" is remembered for readers that come back late; they
     // get a complete list after that.
-    duration removal_memory = std::chrono::minutes(10);
+    duration tombstone_retention = std::chrono::minutes(10);
     // The other control hosts. Before all of them were heard of, what is
-    // missing here isn't reported as gone; after `settle_limit` half of them
+    // missing here isn't reported as gone; after `settle_timeout` half of them
     // will do.
     std::size_t other_control_hosts = 0;
-    duration settle_limit = std::chrono::minutes(10);
+    duration settle_timeout = std::chrono::minutes(10);
 
     [[nodiscard]] duration lease() const
     {
@@ -42,7 +42,7 @@
     }
 };
 
-enum class renewal : std::uint8_t
+enum class renewal_result : std::uint8_t
 {
     accepted,
     // A later run of this host's daemon is known.
@@ -91,7 +91,7 @@
         lease_options options = {});
 
     // A daemon's sync: renews its lease and takes its announcement.
-    renewal renew(time_point now, const messages::sync_request& request);
+    renewal_result renew(time_point now, const messages::sync_request& request);
 
     // The latest run of the host's daemon that is known; 0: none.
     [[nodiscard]] std::uint64_t
@@ -111,7 +111,7 @@
 
     // What another control host gets that asks.
     [[nodiscard]] messages::registry_update
-    update(time_point now, const messages::registry_exchange& asked) const;
+    update(time_point now, const messages::registry_exchange& request) const;
 
     // What this one asks `owner`.
     [[nodiscard]] messages::registry_exchange
@@ -137,13 +137,13 @@
     }
 
 private:
-    struct entry
+    struct lease_entry
     {
         messages::upstream_record record;
         std::string owner;
         // The owner that was passed over last, of two that both spoke of the
         // daemon; empty: none, or it has ended its lease.
-        std::string other_owner;
+        std::string fallback_owner;
         std::uint64_t incarnation = 0;
         std::uint64_t revision = 0;
         // When the owner last heard of it, as far as is known here.
@@ -156,40 +156,40 @@
     {
         std::uint64_t epoch = 0;
         std::uint64_t stamp = 0;
-        time_point heard_at;
+        time_point last_update_at;
         messages::rollout_summary rollout;
     };
 
-    struct handed_over
+    struct handover
     {
         time_point at;
         std::string host;
     };
 
-    using entry_map = std::unordered_map<std::string, entry>;
+    using entry_map = std::unordered_map<std::string, lease_entry>;
 
     void apply_lease(
         time_point now,
         const std::string& owner,
         const messages::owned_lease& lease);
-    void let_run_out(time_point now, const std::string& owner);
-    void apply_end(
+    void limit_expiry(time_point now, const std::string& owner);
+    void apply_lease_end(
         time_point now, const std::string& owner, const std::string& host);
-    void end_handed_over(time_point now);
-    void forget_removals(time_point now);
-    void own(const std::string& host, entry& value);
-    void assert_ownership(const std::string& host);
+    void end_handovers(time_point now);
+    void purge_tombstones(time_point now);
+    void own(const std::string& host, lease_entry& value);
+    void reannounce(const std::string& host);
     void set_record(
         const std::string& host,
-        entry& value,
+        lease_entry& value,
         const messages::upstream_record& record,
         time_point now);
-    entry_map::iterator lose(entry_map::iterator at, time_point now);
+    entry_map::iterator remove_entry(entry_map::iterator at, time_point now);
     // Its owner's lease ended: the other owner is believed, or it is lost.
     entry_map::iterator end_lease(entry_map::iterator at, time_point now);
     void settle(time_point now);
-    void end_leases(time_point now);
-    void set_expiry(entry& value, time_point at);
+    void end_expired_leases(time_point now);
+    void set_expiry(lease_entry& value, time_point at);
 
     [[nodiscard]] bool
     needs_complete_list(const messages::sync_request& request) const;
@@ -197,29 +197,29 @@
     lease_message(std::string_view host, time_point now) const;
     [[nodiscard]] messages::rollout_summary own_rollout() const;
     [[nodiscard]] const messages::rollout_summary&
-    recent_own_rollout(time_point now) const;
+    cached_own_rollout(time_point now) const;
 
     std::string self_;
     std::uint64_t epoch_;
     lease_options options_;
-    time_point started_;
+    time_point started_at_;
     std::uint64_t stamp_ = 0;
     // The stamp at which this registry knew enough to say what is missing.
     std::uint64_t settled_stamp_ = 0;
     entry_map entries_;
-    std::unordered_map<std::string, internal::registry_index> services_;
-    internal::registry_index owned_;
+    std::unordered_map<std::string, internal::change_index> services_;
+    internal::change_index owned_;
     std::unordered_map<std::string, owner_state> owners_;
-    std::deque<handed_over> handed_over_;
+    std::deque<handover> handovers_;
     // All control hosts ask several times a second; a pass over all leases for
     // each of them would cost more than everything else here.
     mutable messages::rollout_summary own_rollout_;
     mutable time_point own_rollout_at_;
-    time_point next_forget_;
+    time_point next_purge_at_;
     // No lease runs out before this. Renewals don't move it: the next pass
     // finds out.
-    time_point next_expiry_ = time_point::max();
-    std::size_t upstreams_ = 0;
+    time_point earliest_expiry_ = time_point::max();
+    std::size_t upstream_count_ = 0;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/membership/lease_registry_test.cpp
+++ b/nutmegusher/membership/lease_registry_test.cpp
@@ -39,7 +39,7 @@
 {
 protected:
     // A caller's question after its last reply.
-    messages::sync_request question() const
+    messages::sync_request next_request() const
     {
         messages::sync_request out;
         out.add_services("balances");
@@ -50,9 +50,9 @@
 
     messages::sync_reply next()
     {
-        const auto asked = question();
+        const auto request = next_request();
         last.Clear();
-        registry.answer(asked, last);
+        registry.answer(request, last);
         return last;
     }
 
@@ -73,14 +73,14 @@
     next();
     registry.renew(start + seconds(8), sync("a", "balances"));
     registry.renew(start + seconds(6), sync("x", "statements"));
-    EXPECT_FALSE(registry.has_news(question()));
+    EXPECT_FALSE(registry.has_news(next_request()));
     registry.renew(start + seconds(6), sync("b", "balances"));
-    EXPECT_TRUE(registry.has_news(question()));
+    EXPECT_TRUE(registry.has_news(next_request()));
     const auto reply = next();
     ASSERT_EQ(reply.upstreams_size(), 1);
     EXPECT_EQ(reply.upstreams(0).host(), "b");
     EXPECT_FALSE(reply.upstreams_complete());
-    EXPECT_FALSE(registry.has_news(question()));
+    EXPECT_FALSE(registry.has_news(next_request()));
 }
 
 TEST_F(lease_registry_test, first_answer_is_complete_once_settled)
@@ -100,7 +100,7 @@
     registry.renew(at, sync("a", "balances"));
     next();
     registry.expire(at + seconds(5));
-    EXPECT_FALSE(registry.has_news(question()));
+    EXPECT_FALSE(registry.has_news(next_request()));
     registry.expire(at + seconds(6));
     const auto reply = next();
     ASSERT_EQ(reply.lost_hosts_size(), 1);
@@ -108,15 +108,16 @@
     EXPECT_EQ(registry.counts().leases, 0U);
 }
 
-TEST_F(lease_registry_test, higher_incarnation_holds_over_a_higher_version)
+TEST_F(lease_registry_test, higher_incarnation_wins_over_a_higher_version)
 {
     settle();
     registry.renew(start, sync("a", "balances", 1, 90));
     EXPECT_EQ(
-        registry.renew(start, sync("a", "balances", 2, 1)), renewal::accepted);
+        registry.renew(start, sync("a", "balances", 2, 1)),
+        renewal_result::accepted);
     EXPECT_EQ(
         registry.renew(start, sync("a", "balances", 1, 91)),
-        renewal::stale_incarnation);
+        renewal_result::stale_incarnation);
     const auto reply = next();
     ASSERT_EQ(reply.upstreams_size(), 1);
     EXPECT_EQ(reply.upstreams(0).incarnation(), 2U);
@@ -135,7 +136,8 @@
     EXPECT_EQ(next().lost_hosts_size(), 2);
 }
 
-TEST_F(lease_registry_test, reader_from_before_the_memory_gets_a_complete_list)
+TEST_F(
+    lease_registry_test, reader_older_than_the_tombstones_gets_a_complete_list)
 {
     settle();
     registry.renew(start, sync("a", "balances"));
@@ -179,37 +181,38 @@
     EXPECT_EQ(rollout.daemons(), 40U);
     EXPECT_EQ(rollout.daemons_at(revision(7)), 37U);
     ASSERT_EQ(rollout.lagging(revision(7)).size(), 3U);
-    EXPECT_EQ(rollout.lagging(revision(7))[0].runs, revision(6));
+    EXPECT_EQ(rollout.lagging(revision(7))[0].running_revision, revision(6));
 }
 
-TEST(rollout_tally, merges_revisions_without_promising_too_much)
+TEST(rollout_tally, merging_revisions_never_overstates_progress)
 {
     rollout_tally many;
-    for (std::uint64_t runs = 1; runs <= 100; ++runs)
+    for (std::uint64_t running_revision = 1; running_revision <= 100;
+         ++running_revision)
     {
-        many.add("d" + std::to_string(runs), runs);
+        many.add("d" + std::to_string(running_revision), running_revision);
     }
     rollout_tally sum;
     sum.add(many.summary());
     EXPECT_EQ(sum.daemons(), 100U);
     EXPECT_LE(sum.daemons_at(revision(100)), 1U);
     EXPECT_EQ(sum.daemons_at(revision(33)), 0U);
-    EXPECT_EQ(sum.lagging(revision(100)).size(), rollout_tally::max_named);
-    EXPECT_EQ(sum.lagging(revision(100))[0].runs, revision(1));
+    EXPECT_EQ(sum.lagging(revision(100)).size(), rollout_tally::max_lagging);
+    EXPECT_EQ(sum.lagging(revision(100))[0].running_revision, revision(1));
 }
 
 // The clock of its host was set back before the daemon started again.
-TEST_F(lease_registry_test, an_earlier_run_is_told_which_one_is_known)
+TEST_F(lease_registry_test, earlier_incarnation_is_told_the_known_one)
 {
     EXPECT_EQ(registry.known_incarnation("a"), 0U);
     registry.renew(start, sync("a", "balances", 9));
     EXPECT_EQ(
         registry.renew(start + seconds(1), sync("a", "balances", 5)),
-        renewal::stale_incarnation);
+        renewal_result::stale_incarnation);
     EXPECT_EQ(registry.known_incarnation("a"), 9U);
     EXPECT_EQ(
         registry.renew(start + seconds(1), sync("a", "balances", 10)),
-        renewal::accepted);
+        renewal_result::accepted);
 }
 
 } // namespace
--- a/nutmegusher/membership/membership.hpp
+++ b/nutmegusher/membership/membership.hpp
@@ -5,14 +5,14 @@
 // - `upstream_view` at a daemon: the upstreams of the services that it calls,
 //   and a stable subset of a large one.
 // - `sync_schedule` at a daemon: which control host to use, and when.
-// - `opinion_schedule` at a daemon: when to ask another one besides.
+// - `hedge_schedule` at a daemon: when to ask another one besides.
 //
 // All are pure state machines for one thread: time comes in as a parameter.
 #ifndef NUTMEGUSHER_MEMBERSHIP_MEMBERSHIP_HPP
 #define NUTMEGUSHER_MEMBERSHIP_MEMBERSHIP_HPP
 
+#include "nutmegusher/membership/hedge_schedule.hpp"
 #include "nutmegusher/membership/lease_registry.hpp"
-#include "nutmegusher/membership/opinion_schedule.hpp"
 #include "nutmegusher/membership/subset.hpp"
 #include "nutmegusher/membership/sync_schedule.hpp"
 #include "nutmegusher/membership/upstream_view.hpp"
--- a/nutmegusher/membership/membership_property_test.cpp
+++ b/nutmegusher/membership/membership_property_test.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t control_count = 3;
 constexpr std::size_t daemon_count = 5;
 const std::vector<std::string> services{"balances", "statements"};
-const place here{data_center_name("a1"), region_name("a")};
+const locality own_locality{data_center_name("a1"), region_name("a")};
 
 struct daemon_state
 {
@@ -31,10 +31,10 @@
     std::unique_ptr<upstream_view> view;
 };
 
-class world
+class membership_model
 {
 public:
-    world()
+    membership_model()
     {
         for (std::size_t at = 0; at < control_count; ++at)
         {
@@ -49,7 +49,7 @@
         }
     }
 
-    void play(unsigned action, std::size_t one, std::size_t two)
+    void apply_action(unsigned action, std::size_t one, std::size_t two)
     {
         auto& daemon = daemons_[one % daemon_count];
         switch (action)
@@ -79,14 +79,15 @@
         case 9:
             return restart_control(one % control_count);
         default:
-            cut_ = two % 2 == 0 ? one % control_count : control_count;
+            isolated_control_ =
+                two % 2 == 0 ? one % control_count : control_count;
         }
     }
 
     // Faults are over: all daemons renew and all control hosts exchange.
     void heal()
     {
-        cut_ = control_count;
+        isolated_control_ = control_count;
         for (int second = 0; second < 40; ++second)
         {
             now_ += std::chrono::seconds(1);
@@ -106,7 +107,7 @@
     }
 
     // The oracle.
-    [[nodiscard]] bool views_are_exact() const
+    [[nodiscard]] bool views_match_daemons() const
     {
         for (const auto& reader : daemons_)
         {
@@ -114,25 +115,25 @@
             {
                 continue;
             }
-            std::size_t living = 0;
+            std::size_t alive_count = 0;
             for (std::size_t at = 0; at < daemon_count; ++at)
             {
-                const auto& said = daemons_[at];
-                const auto* seen = reader.view->find(name(at));
-                if (said.alive != (seen != nullptr))
+                const auto& expected = daemons_[at];
+                const auto* actual = reader.view->find(name(at));
+                if (expected.alive != (actual != nullptr))
                 {
                     return false;
                 }
-                if (seen != nullptr &&
-                    (seen->incarnation() != said.incarnation ||
-                     seen->version() != said.version ||
-                     seen->service() != services[said.service]))
+                if (actual != nullptr &&
+                    (actual->incarnation() != expected.incarnation ||
+                     actual->version() != expected.version ||
+                     actual->service() != services[expected.service]))
                 {
                     return false;
                 }
-                living += said.alive ? 1 : 0;
+                alive_count += expected.alive ? 1 : 0;
             }
-            if (reader.view->size() != living)
+            if (reader.view->size() != alive_count)
             {
                 return false;
             }
@@ -140,9 +141,9 @@
         return true;
     }
 
-    [[nodiscard]] bool went_back() const
+    [[nodiscard]] bool has_regressed() const
     {
-        return went_back_;
+        return has_regressed_;
     }
 
 private:
@@ -158,10 +159,11 @@
 
     void start_view(std::size_t at)
     {
-        daemons_[at].view = std::make_unique<upstream_view>(name(at), here);
+        daemons_[at].view =
+            std::make_unique<upstream_view>(name(at), own_locality);
         for (const auto& service : services)
         {
-            daemons_[at].view->want(service_name(service));
+            daemons_[at].view->add_service(service_name(service));
         }
     }
 
@@ -169,7 +171,7 @@
     {
         controls_[at] = std::make_unique<lease_registry>(
             control_name(at),
-            ++epochs_,
+            ++last_epoch_,
             now_,
             lease_options{.other_control_hosts = control_count - 1});
     }
@@ -190,9 +192,9 @@
         own.set_version(daemon.version);
         own.set_service(services[daemon.service]);
         own.set_state(messages::upstream_serving);
-        daemon.view->subscribe(request);
+        daemon.view->fill_request(request);
         auto& control = *controls_[daemon.control];
-        if (control.renew(now_, request) != renewal::accepted)
+        if (control.renew(now_, request) != renewal_result::accepted)
         {
             return;
         }
@@ -214,8 +216,8 @@
         for (std::size_t at = 0; at < daemon_count; ++at)
         {
             const auto* known = view.find(name(at));
-            went_back_ =
-                went_back_ ||
+            has_regressed_ =
+                has_regressed_ ||
                 (known != nullptr &&
                  std::pair(known->incarnation(), known->version()) <
                      std::pair(before[at].incarnation(), before[at].version()));
@@ -224,13 +226,13 @@
 
     void exchange(std::size_t to, std::size_t from)
     {
-        if (to == from || to == cut_ || from == cut_)
+        if (to == from || to == isolated_control_ || from == isolated_control_)
         {
             return;
         }
-        const auto asked = controls_[to]->exchange(control_name(from));
+        const auto request = controls_[to]->exchange(control_name(from));
         controls_[to]->apply(
-            now_, control_name(from), controls_[from]->update(now_, asked));
+            now_, control_name(from), controls_[from]->update(now_, request));
     }
 
     void expire()
@@ -242,30 +244,30 @@
     }
 
     time_point now_{std::chrono::hours(1)};
-    std::uint64_t epochs_ = 0;
+    std::uint64_t last_epoch_ = 0;
     // A control host that is cut off from the others, or none.
-    std::size_t cut_ = control_count;
+    std::size_t isolated_control_ = control_count;
     std::vector<std::unique_ptr<lease_registry>> controls_;
     std::vector<daemon_state> daemons_;
-    bool went_back_ = false;
+    bool has_regressed_ = false;
 };
 
 RC_GTEST_PROP(membership_property, views_become_what_the_daemons_said, ())
 {
     constexpr unsigned actions = 11;
     constexpr int steps = 150;
-    world playing;
+    membership_model model;
     for (int step = 0; step < steps; ++step)
     {
-        playing.play(
+        model.apply_action(
             *rc::gen::inRange(0U, actions),
             *rc::gen::inRange<std::size_t>(0, 30),
             *rc::gen::inRange<std::size_t>(0, 16));
-        RC_ASSERT(!playing.went_back());
+        RC_ASSERT(!model.has_regressed());
     }
-    playing.heal();
-    RC_ASSERT(!playing.went_back());
-    RC_ASSERT(playing.views_are_exact());
+    model.heal();
+    RC_ASSERT(!model.has_regressed());
+    RC_ASSERT(model.views_match_daemons());
 }
 
 } // namespace
--- a/nutmegusher/membership/registry_exchange_test.cpp
+++ b/nutmegusher/membership/registry_exchange_test.cpp
@@ -77,7 +77,7 @@
 // for the later one, and the first itself, which hears of the second over a
 // slower way, the second. When the first one ends its lease the daemon lives on
 // at the second, which says nothing new of it.
-TEST_F(registry_exchange_test, two_claims_seen_in_another_order_lose_nobody)
+TEST_F(registry_exchange_test, reordered_claims_do_not_lose_a_daemon)
 {
     using std::chrono::milliseconds;
     const auto renewed = start + milliseconds(10);
@@ -85,8 +85,8 @@
     one.renew(renewed, sync("a"));
     pull(three, one, one_id, renewed);
     pull(three, two, two_id, renewed);
-    const auto slow = two.update(renewed, one.exchange(two_id));
-    one.apply(renewed + milliseconds(20), two_id, slow);
+    const auto delayed_update = two.update(renewed, one.exchange(two_id));
+    one.apply(renewed + milliseconds(20), two_id, delayed_update);
     for (int second = 1; second < 20; ++second)
     {
         const auto now = start + seconds(second);
@@ -105,7 +105,7 @@
 
 // The daemon renews with both in the same moment and then with one alone: the
 // other one keeps its own lease, and isn't told anew when that runs out.
-TEST_F(registry_exchange_test, a_lease_that_runs_out_falls_to_the_other_owner)
+TEST_F(registry_exchange_test, expired_lease_falls_back_to_the_other_owner)
 {
     two.renew(start, sync("a"));
     one.renew(start, sync("a"));
@@ -144,7 +144,7 @@
     EXPECT_EQ(two.counts().owned, 1U);
 }
 
-TEST_F(registry_exchange_test, old_owner_waits_for_the_new_one_to_be_heard)
+TEST_F(registry_exchange_test, previous_owner_delays_the_end_of_a_moved_lease)
 {
     one.renew(start, sync("a"));
     pull(three, one, one_id, start);
@@ -178,16 +178,16 @@
 {
     one.renew(start, sync("a"));
     pull(two, one, one_id, start);
-    auto moved_on = sync("a");
-    moved_on.set_configuration_revision(8);
-    one.renew(start + seconds(1), moved_on);
+    auto newer_revision = sync("a");
+    newer_revision.set_configuration_revision(8);
+    one.renew(start + seconds(1), newer_revision);
     two.renew(start + seconds(1), sync("b"));
     pull(two, one, one_id, start + seconds(1));
     EXPECT_EQ(two.rollout().daemons(), 2U);
     EXPECT_EQ(two.rollout().daemons_at(revision(8)), 1U);
 }
 
-TEST_F(registry_exchange_test, silent_control_host_takes_nobody_along)
+TEST_F(registry_exchange_test, leases_of_a_silent_control_host_last_for_hours)
 {
     one.renew(start, sync("a"));
     pull(two, one, one_id, start);
@@ -200,7 +200,7 @@
     EXPECT_EQ(two.counts().upstreams, 1U);
 }
 
-TEST_F(registry_exchange_test, replaced_control_host_leaves_one_lease_of_time)
+TEST_F(registry_exchange_test, removed_control_host_leaves_time_for_one_renewal)
 {
     one.renew(start, sync("a"));
     one.renew(start, sync("b"));
@@ -215,35 +215,35 @@
 {
     one.renew(start, sync("a"));
     pull(two, one, one_id, start);
-    lease_registry reborn(one_id, 11, start + seconds(10), options);
-    pull(two, reborn, one_id, start + seconds(10));
+    lease_registry restarted(one_id, 11, start + seconds(10), options);
+    pull(two, restarted, one_id, start + seconds(10));
     two.expire(start + seconds(15));
     EXPECT_EQ(two.counts().upstreams, 1U);
-    reborn.renew(start + seconds(15), sync("a"));
-    pull(two, reborn, one_id, start + seconds(15));
+    restarted.renew(start + seconds(15), sync("a"));
+    pull(two, restarted, one_id, start + seconds(15));
     two.expire(start + minutes(5));
     EXPECT_EQ(two.counts().upstreams, 1U);
 }
 
-TEST_F(registry_exchange_test, restarted_control_host_says_nobody_is_missing)
+TEST_F(registry_exchange_test, restarted_control_host_sends_incomplete_lists)
 {
     one.renew(start, sync("a"));
-    messages::sync_request question;
-    question.add_services("balances");
+    messages::sync_request request;
+    request.add_services("balances");
 
-    messages::sync_reply alone;
+    messages::sync_reply unsettled_reply;
     two.expire(start + seconds(10));
-    two.answer(question, alone);
-    EXPECT_FALSE(alone.upstreams_complete());
+    two.answer(request, unsettled_reply);
+    EXPECT_FALSE(unsettled_reply.upstreams_complete());
 
     one.renew(start + seconds(11), sync("a"));
     pull(two, one, one_id, start + seconds(11));
     pull(two, three, three_id, start + seconds(11));
     two.expire(start + seconds(11));
-    messages::sync_reply informed;
-    two.answer(question, informed);
-    EXPECT_TRUE(informed.upstreams_complete());
-    EXPECT_EQ(informed.upstreams_size(), 1);
+    messages::sync_reply settled_reply;
+    two.answer(request, settled_reply);
+    EXPECT_TRUE(settled_reply.upstreams_complete());
+    EXPECT_EQ(settled_reply.upstreams_size(), 1);
 }
 
 } // namespace
--- a/nutmegusher/membership/rollout_tally.cpp
+++ b/nutmegusher/membership/rollout_tally.cpp
@@ -5,10 +5,10 @@
 namespace nutmegusher
 {
 
-void rollout_tally::add(const std::string& host, std::uint64_t runs)
+void rollout_tally::add(const std::string& host, std::uint64_t running_revision)
 {
-    ++counts_[runs];
-    name(host, runs);
+    ++counts_[running_revision];
+    track_lagging(host, running_revision);
 }
 
 void rollout_tally::add(const messages::rollout_summary& part)
@@ -19,22 +19,23 @@
     }
     for (const auto& daemon : part.lagging())
     {
-        name(daemon.host(), daemon.revision());
+        track_lagging(daemon.host(), daemon.revision());
     }
 }
 
-void rollout_tally::name(const std::string& host, std::uint64_t runs)
+void rollout_tally::track_lagging(
+    const std::string& host, std::uint64_t running_revision)
 {
-    if (lowest_.size() < max_named)
+    if (lowest_.size() < max_lagging)
     {
-        lowest_.emplace(runs, host);
+        lowest_.emplace(running_revision, host);
         return;
     }
     const auto highest = std::prev(lowest_.end());
-    if (runs < highest->first)
+    if (running_revision < highest->first)
     {
         lowest_.erase(highest);
-        lowest_.emplace(runs, host);
+        lowest_.emplace(running_revision, host);
     }
 }
 
@@ -47,7 +48,7 @@
         counts_.size() > max_revisions ? counts_.size() - max_revisions : 0;
     std::size_t carried = 0;
     std::size_t position = 0;
-    for (const auto& [runs, daemons] : counts_)
+    for (const auto& [running_revision, daemons] : counts_)
     {
         if (position++ < merged)
         {
@@ -55,15 +56,15 @@
             continue;
         }
         auto& item = *out.add_counts();
-        item.set_revision(runs);
+        item.set_revision(running_revision);
         item.set_daemons(static_cast<std::uint32_t>(daemons + carried));
         carried = 0;
     }
-    for (const auto& [runs, host] : lowest_)
+    for (const auto& [running_revision, host] : lowest_)
     {
         auto& item = *out.add_lagging();
         item.set_host(host);
-        item.set_revision(runs);
+        item.set_revision(running_revision);
     }
     return out;
 }
@@ -73,24 +74,24 @@
     return daemons_at(revision(0));
 }
 
-std::size_t rollout_tally::daemons_at(revision wanted) const
+std::size_t rollout_tally::daemons_at(revision target) const
 {
     std::size_t total = 0;
-    for (const auto& [runs, daemons] : counts_)
+    for (const auto& [running_revision, daemons] : counts_)
     {
-        total += runs >= wanted.value() ? daemons : 0;
+        total += running_revision >= target.value() ? daemons : 0;
     }
     return total;
 }
 
-std::vector<lagging_host> rollout_tally::lagging(revision wanted) const
+std::vector<lagging_host> rollout_tally::lagging(revision target) const
 {
     std::vector<lagging_host> out;
-    for (const auto& [runs, host] : lowest_)
+    for (const auto& [running_revision, host] : lowest_)
     {
-        if (runs < wanted.value())
+        if (running_revision < target.value())
         {
-            out.push_back({host_id(host), revision(runs)});
+            out.push_back({host_id(host), revision(running_revision)});
         }
     }
     return out;
--- a/nutmegusher/membership/rollout_tally.hpp
+++ b/nutmegusher/membership/rollout_tally.hpp
@@ -19,7 +19,7 @@
 struct lagging_host
 {
     host_id host;
-    revision runs;
+    revision running_revision;
 };
 
 // Counts daemons by the revision that they run. A summary has a bounded size,
@@ -30,23 +30,23 @@
 public:
     // Names and revisions beyond these bounds are left out of a summary; the
     // lowest ones are kept, since they are what an operator looks for.
-    static constexpr std::size_t max_named = 16;
+    static constexpr std::size_t max_lagging = 16;
     static constexpr std::size_t max_revisions = 32;
 
-    void add(const std::string& host, std::uint64_t runs);
+    void add(const std::string& host, std::uint64_t running_revision);
     void add(const messages::rollout_summary& part);
 
     [[nodiscard]] messages::rollout_summary summary() const;
 
-    // Daemons in all, and those that run `wanted` or a later one.
+    // Daemons in all, and those that run `target` or a later one.
     [[nodiscard]] std::size_t daemons() const;
-    [[nodiscard]] std::size_t daemons_at(revision wanted) const;
+    [[nodiscard]] std::size_t daemons_at(revision target) const;
 
-    // Some of those below `wanted`, the lowest first.
-    [[nodiscard]] std::vector<lagging_host> lagging(revision wanted) const;
+    // Some of those below `target`, the lowest first.
+    [[nodiscard]] std::vector<lagging_host> lagging(revision target) const;
 
 private:
-    void name(const std::string& host, std::uint64_t runs);
+    void track_lagging(const std::string& host, std::uint64_t running_revision);
 
     std::map<std::uint64_t, std::size_t, std::greater<>> counts_;
     std::multimap<std::uint64_t, std::string> lowest_;
--- a/nutmegusher/membership/subset.cpp
+++ b/nutmegusher/membership/subset.cpp
@@ -13,7 +13,7 @@
 {
     same_data_center,
     same_region,
-    elsewhere
+    other_region
 };
 
 struct ranked
@@ -30,21 +30,21 @@
     }
 };
 
-distance distance_between(const place& here, const place& there)
+distance distance_between(const locality& own_locality, const locality& there)
 {
-    if (here == there)
+    if (own_locality == there)
     {
         return distance::same_data_center;
     }
-    return here.region == there.region ? distance::same_region
-                                       : distance::elsewhere;
+    return own_locality.region == there.region ? distance::same_region
+                                               : distance::other_region;
 }
 
 } // namespace
 
 std::vector<std::size_t> choose_subset(
     const host_id& self,
-    const place& here,
+    const locality& own_locality,
     std::span<const subset_candidate> candidates,
     const subset_options& options)
 {
@@ -55,7 +55,7 @@
     {
         const auto& candidate = candidates[position];
         all.push_back(
-            {distance_between(here, candidate.at),
+            {distance_between(own_locality, candidate.at),
              stable_hash(candidate.host, seed),
              candidate.host,
              position});
@@ -77,12 +77,12 @@
 
     std::vector<std::size_t> chosen;
     chosen.reserve(taken_near + taken_far);
-    for (std::size_t place = 0; place < all.size(); ++place)
+    for (std::size_t locality = 0; locality < all.size(); ++locality)
     {
-        const bool is_near = place < near;
-        if (is_near ? place < taken_near : place - near < taken_far)
+        const bool is_near = locality < near;
+        if (is_near ? locality < taken_near : locality - near < taken_far)
         {
-            chosen.push_back(all[place].position);
+            chosen.push_back(all[locality].position);
         }
     }
     return chosen;
--- a/nutmegusher/membership/subset.hpp
+++ b/nutmegusher/membership/subset.hpp
@@ -13,12 +13,12 @@
 {
 
 // Where a daemon is.
-struct place
+struct locality
 {
     data_center_name data_center;
     region_name region;
 
-    friend bool operator==(const place&, const place&) = default;
+    friend bool operator==(const locality&, const locality&) = default;
 };
 
 struct subset_options
@@ -35,7 +35,7 @@
 struct subset_candidate
 {
     std::string_view host;
-    place at;
+    locality at;
 };
 
 // Chooses by rendezvous hashing with the chooser's name as the seed: each
@@ -46,7 +46,7 @@
 // the rest. Gives positions in `candidates`, in that order.
 [[nodiscard]] std::vector<std::size_t> choose_subset(
     const host_id& self,
-    const place& here,
+    const locality& own_locality,
     std::span<const subset_candidate> candidates,
     const subset_options& options);
 
--- a/nutmegusher/membership/subset_test.cpp
+++ b/nutmegusher/membership/subset_test.cpp
@@ -14,35 +14,35 @@
 namespace
 {
 
-const place here{data_center_name("a1"), region_name("a")};
-const place near_by{data_center_name("a2"), region_name("a")};
-const place elsewhere{data_center_name("b1"), region_name("b")};
+const locality own_locality{data_center_name("a1"), region_name("a")};
+const locality other_data_center{data_center_name("a2"), region_name("a")};
+const locality other_region{data_center_name("b1"), region_name("b")};
 
-struct named_place
+struct located_host
 {
     std::string host;
-    place at;
+    locality at;
 };
 
-std::vector<named_place> service(int near, int same_region, int far)
+std::vector<located_host> service(int near, int same_region, int far)
 {
-    std::vector<named_place> out;
-    const auto add = [&out](int count, const char* prefix, const place& at)
+    std::vector<located_host> out;
+    const auto add = [&out](int count, const char* prefix, const locality& at)
     {
         for (int number = 0; number < count; ++number)
         {
             out.push_back({prefix + std::to_string(number), at});
         }
     };
-    add(near, "n", here);
-    add(same_region, "r", near_by);
-    add(far, "f", elsewhere);
+    add(near, "n", own_locality);
+    add(same_region, "r", other_data_center);
+    add(far, "f", other_region);
     return out;
 }
 
 std::vector<std::string> chosen(
     const std::string& self,
-    const std::vector<named_place>& hosts,
+    const std::vector<located_host>& hosts,
     const subset_options& options = {})
 {
     std::vector<subset_candidate> candidates;
@@ -53,7 +53,7 @@
     }
     std::vector<std::string> out;
     for (const auto at :
-         choose_subset(host_id(self), here, candidates, options))
+         choose_subset(host_id(self), own_locality, candidates, options))
     {
         out.push_back(hosts[at].host);
     }
@@ -129,14 +129,14 @@
     hosts.erase(hosts.begin() + static_cast<std::ptrdiff_t>(gone));
     const auto after = chosen("d", hosts);
     const std::set<std::string> kept(before.begin(), before.end());
-    const auto fresh = std::count_if(
+    const auto added_count = std::count_if(
         after.begin(),
         after.end(),
         [&kept](const std::string& host)
         {
             return !kept.contains(host);
         });
-    RC_ASSERT(fresh <= 2);
+    RC_ASSERT(added_count <= 2);
     RC_ASSERT(after.size() == std::min<std::size_t>(20, hosts.size()));
 }
 
--- a/nutmegusher/membership/sync_schedule.cpp
+++ b/nutmegusher/membership/sync_schedule.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-duration spread(duration bound, random_engine& random)
+duration jitter(duration bound, random_engine& random)
 {
     const auto part = uniform_unit(random) * static_cast<double>(bound.count());
     return duration(static_cast<duration::rep>(part));
@@ -18,25 +18,25 @@
 } // namespace
 
 sync_schedule::sync_schedule(
-    host_id self, place here, sync_schedule_options options)
+    host_id self, locality own_locality, sync_schedule_options options)
     : self_(std::move(self))
-    , here_(std::move(here))
+    , own_locality_(std::move(own_locality))
     , options_(options)
 {
 }
 
 void sync_schedule::set_hosts(const std::vector<control_host>& hosts)
 {
-    std::vector<subset_candidate> order;
-    order.reserve(hosts.size());
+    std::vector<subset_candidate> locations;
+    locations.reserve(hosts.size());
     for (const auto& host : hosts)
     {
-        order.push_back({host.host.str(), host.at});
+        locations.push_back({host.host.str(), host.at});
     }
     const subset_options all{.max_size = hosts.size(), .max_far = hosts.size()};
     std::vector<candidate> next;
     next.reserve(hosts.size());
-    for (const auto at : choose_subset(self_, here_, order, all))
+    for (const auto at : choose_subset(self_, own_locality_, locations, all))
     {
         const auto known = std::find_if(
             candidates_.begin(),
@@ -78,7 +78,7 @@
     current_ = kept == candidates_.end()
                    ? 0
                    : static_cast<std::size_t>(kept - candidates_.begin());
-    return_at_.reset();
+    failback_at_.reset();
 }
 
 sync_plan sync_schedule::plan(time_point now) const
@@ -87,25 +87,26 @@
     {
         return {};
     }
-    return {&candidates_[position(now)].host, try_at_};
+    return {&candidates_[planned_index(now)].host, next_attempt_at_};
 }
 
-std::size_t sync_schedule::position(time_point now) const
+std::size_t sync_schedule::planned_index(time_point now) const
 {
-    return return_at_ && now >= *return_at_ ? return_to_ : current_;
+    return failback_at_ && now >= *failback_at_ ? failback_target_ : current_;
 }
 
-void sync_schedule::asked(time_point now)
+void sync_schedule::request_sent(time_point now)
 {
     if (!candidates_.empty())
     {
-        asked_ = candidates_[position(now)].host.host;
+        in_flight_ = candidates_[planned_index(now)].host.host;
     }
 }
 
-std::optional<std::size_t> sync_schedule::asked_or_planned(time_point now) const
+std::optional<std::size_t>
+sync_schedule::in_flight_or_planned(time_point now) const
 {
-    return asked_ ? find(*asked_) : std::optional(position(now));
+    return in_flight_ ? find(*in_flight_) : std::optional(planned_index(now));
 }
 
 void sync_schedule::succeeded(time_point now, random_engine& random)
@@ -114,22 +115,22 @@
     {
         return;
     }
-    const auto used = asked_or_planned(now);
-    asked_.reset();
+    const auto used = in_flight_or_planned(now);
+    in_flight_.reset();
     if (used && *used != current_)
     {
-        return_at_.reset();
+        failback_at_.reset();
     }
     current_ = used.value_or(current_);
     ever_succeeded_ = true;
     candidates_[current_].failures = 0;
-    try_at_ = now;
-    plan_return(now, random);
+    next_attempt_at_ = now;
+    plan_failback(now, random);
 }
 
-void sync_schedule::plan_return(time_point now, random_engine& random)
+void sync_schedule::plan_failback(time_point now, random_engine& random)
 {
-    if (return_at_ || current_ == 0)
+    if (failback_at_ || current_ == 0)
     {
         return;
     }
@@ -144,13 +145,13 @@
         {
             return one.usable_at <= now;
         });
-    const auto wanted =
+    const auto preferred =
         nearer == nearer_end
             ? std::size_t{0}
             : static_cast<std::size_t>(nearer - candidates_.begin());
-    const auto usable = std::max(now, candidates_[wanted].usable_at);
-    return_to_ = wanted;
-    return_at_ = usable + spread(options_.return_spread, random);
+    const auto usable = std::max(now, candidates_[preferred].usable_at);
+    failback_target_ = preferred;
+    failback_at_ = usable + jitter(options_.failback_jitter, random);
 }
 
 void sync_schedule::failed(time_point now, random_engine& random)
@@ -159,32 +160,33 @@
     {
         return;
     }
-    const auto used = asked_or_planned(now);
-    asked_.reset();
+    const auto used = in_flight_or_planned(now);
+    in_flight_.reset();
     if (!used)
     {
-        try_at_ = now;
+        next_attempt_at_ = now;
         return;
     }
-    note_failure(candidates_[*used], now, random);
-    const bool was_return = *used != current_;
-    return_at_.reset();
-    if (!was_return)
+    record_failure(candidates_[*used], now, random);
+    const bool was_failback = *used != current_;
+    failback_at_.reset();
+    if (!was_failback)
     {
         current_ = best(now);
     }
     const auto usable = candidates_[current_].usable_at;
-    const auto within =
-        ever_succeeded_ ? options_.failover_spread : options_.start_spread;
+    const auto max_jitter =
+        ever_succeeded_ ? options_.failover_jitter : options_.startup_jitter;
     // The one in use goes on at once after a failed way back.
-    try_at_ = was_return ? now : std::max(now, usable) + spread(within, random);
-    if (was_return)
+    next_attempt_at_ =
+        was_failback ? now : std::max(now, usable) + jitter(max_jitter, random);
+    if (was_failback)
     {
-        plan_return(now, random);
+        plan_failback(now, random);
     }
 }
 
-void sync_schedule::note_failure(
+void sync_schedule::record_failure(
     candidate& tried, time_point now, random_engine& random)
 {
     ++tried.failures;
@@ -207,16 +209,16 @@
     return static_cast<std::size_t>(found - candidates_.begin());
 }
 
-std::optional<control_host> sync_schedule::pick_other(time_point now)
+std::optional<control_host> sync_schedule::pick_alternate(time_point now)
 {
     candidate* best = nullptr;
-    const auto planned = asked_or_planned(now);
+    const auto planned = in_flight_or_planned(now);
     for (std::size_t at = 0; at < candidates_.size(); ++at)
     {
         auto& one = candidates_[at];
         const auto rank = [](const candidate& each)
         {
-            return std::pair(each.failures, each.asked_beside_at);
+            return std::pair(each.failures, each.last_picked_at);
         };
         if (at != planned && (best == nullptr || rank(one) < rank(*best)))
         {
@@ -227,11 +229,11 @@
     {
         return std::nullopt;
     }
-    best->asked_beside_at = now;
+    best->last_picked_at = now;
     return best->host;
 }
 
-void sync_schedule::move_to(
+void sync_schedule::switch_to(
     const host_id& other, time_point now, random_engine& random)
 {
     const auto used = find(other);
@@ -239,23 +241,23 @@
     {
         return;
     }
-    const auto left = asked_or_planned(now);
-    asked_.reset();
-    if (left && *left != *used)
+    const auto previous = in_flight_or_planned(now);
+    in_flight_.reset();
+    if (previous && *previous != *used)
     {
-        note_failure(candidates_[*left], now, random);
+        record_failure(candidates_[*previous], now, random);
     }
     current_ = *used;
-    return_at_.reset();
+    failback_at_.reset();
     succeeded(now, random);
 }
 
-void sync_schedule::other_failed(
+void sync_schedule::alternate_failed(
     const host_id& other, time_point now, random_engine& random)
 {
     if (const auto tried = find(other))
     {
-        note_failure(candidates_[*tried], now, random);
+        record_failure(candidates_[*tried], now, random);
     }
 }
 
@@ -286,12 +288,13 @@
 duration sync_schedule::backoff(unsigned failures, random_engine& random) const
 {
     constexpr unsigned max_doublings = 12;
-    const auto spared = ever_succeeded_ ? 1 : options_.start_tries;
-    const auto doublings =
-        std::min(failures - std::min(failures, spared), max_doublings);
-    const duration raised = options_.first_backoff * (1LL << doublings);
-    const auto full = std::min(raised, options_.max_backoff);
-    return full / 2 + spread(full / 2, random);
+    const auto tolerated_failures =
+        ever_succeeded_ ? 1 : options_.startup_attempts;
+    const auto doublings = std::min(
+        failures - std::min(failures, tolerated_failures), max_doublings);
+    const duration uncapped = options_.initial_backoff * (1LL << doublings);
+    const auto capped = std::min(uncapped, options_.max_backoff);
+    return capped / 2 + jitter(capped / 2, random);
 }
 
 } // namespace nutmegusher
--- a/nutmegusher/membership/sync_schedule.hpp
+++ b/nutmegusher/membership/sync_schedule.hpp
@@ -18,7 +18,7 @@
     host_id host;
     // ip:port of its peer listener.
     std::string address;
-    place at;
+    locality at;
 
     friend bool operator==(const control_host&, const control_host&) = default;
 };
@@ -27,7 +27,7 @@
 {
     // After a failure the next control host is tried within this time, spread
     // evenly: the daemons of a lost one don't arrive at the others at once.
-    duration failover_spread = std::chrono::milliseconds(250);
+    duration failover_jitter = std::chrono::milliseconds(250);
     // A control host that failed is left alone so long; doubles with each
     // failure up to the bound, and half of it is spread. The bound keeps a
     // change that is accepted right after control came back within its 4 s;
@@ -36,7 +36,7 @@
     // The first one is short: a daemon that starts serves nobody before its
     // first sync, and hosts that start together aren't ready in the same
     // moment.
-    duration first_backoff = std::chrono::milliseconds(250);
+    duration initial_backoff = std::chrono::milliseconds(250);
     duration max_backoff = std::chrono::seconds(2);
     // Until the first sync was answered, the backoff of a control host grows
     // only after this many failures, and the next one is tried within the
@@ -44,11 +44,11 @@
     // too early were asked again up to 0.8 s after they had a leader. 2,000
     // daemons of a data centre that starts make 1,400 tries a second at each of
     // 23 control hosts for a second.
-    unsigned start_tries = 6;
-    duration start_spread = std::chrono::milliseconds(50);
+    unsigned startup_attempts = 6;
+    duration startup_jitter = std::chrono::milliseconds(50);
     // When a nearer control host may be used again, daemons go back to it over
     // this time. 890 daemons of one control host make 15 returns a second.
-    duration return_spread = std::chrono::seconds(60);
+    duration failback_jitter = std::chrono::seconds(60);
 };
 
 // What to do next.
@@ -64,7 +64,7 @@
 // among equals rendezvous hashing spreads the daemons evenly, and over all the
 // others when one is lost.
 //
-//     sync_schedule schedule(self, here);
+//     sync_schedule schedule(self, own_locality);
 //     schedule.set_hosts(hosts);
 //     const auto plan = schedule.plan(now);   // connect to plan.target
 //     schedule.succeeded(now, random);        // or schedule.failed(now,
@@ -74,7 +74,10 @@
 class sync_schedule
 {
 public:
-    sync_schedule(host_id self, place here, sync_schedule_options options = {});
+    sync_schedule(
+        host_id self,
+        locality own_locality,
+        sync_schedule_options options = {});
 
     // Those that there are now; what is known of them stays. Nothing happens
     // where they are the same, so each reply's list can be given.
@@ -86,7 +89,7 @@
 
     // The planned one is asked now; what is told next is of it, also where
     // another one is planned by then.
-    void asked(time_point now);
+    void request_sent(time_point now);
 
     // A sync with the planned one was answered.
     void succeeded(time_point now, random_engine& random);
@@ -97,15 +100,15 @@
     // Another one to ask beside the planned one: the one that failed least
     // lately, and among equals the one that wasn't asked so for longest.
     // Nothing where there is no other.
-    [[nodiscard]] std::optional<control_host> pick_other(time_point now);
+    [[nodiscard]] std::optional<control_host> pick_alternate(time_point now);
 
     // That one knows more than the planned one: it is used from now on, and the
     // planned one counts as failed.
-    void move_to(const host_id& other, time_point now, random_engine& random);
+    void switch_to(const host_id& other, time_point now, random_engine& random);
 
     // That one doesn't know more, or gave no answer.
-    void
-    other_failed(const host_id& other, time_point now, random_engine& random);
+    void alternate_failed(
+        const host_id& other, time_point now, random_engine& random);
 
 private:
     struct candidate
@@ -114,34 +117,35 @@
         unsigned failures = 0;
         time_point usable_at;
         // When it was last asked beside the planned one.
-        time_point asked_beside_at;
+        time_point last_picked_at;
     };
 
-    void note_failure(candidate& tried, time_point now, random_engine& random);
+    void
+    record_failure(candidate& tried, time_point now, random_engine& random);
     [[nodiscard]] std::optional<std::size_t> find(const host_id& host) const;
 
     // Of the one that was asked, else of the planned one; nothing where it is
     // no candidate any more.
     [[nodiscard]] std::optional<std::size_t>
-    asked_or_planned(time_point now) const;
-    [[nodiscard]] std::size_t position(time_point now) const;
+    in_flight_or_planned(time_point now) const;
+    [[nodiscard]] std::size_t planned_index(time_point now) const;
     [[nodiscard]] std::size_t best(time_point now) const;
     [[nodiscard]] duration
     backoff(unsigned failures, random_engine& random) const;
-    void plan_return(time_point now, random_engine& random);
+    void plan_failback(time_point now, random_engine& random);
 
     host_id self_;
-    place here_;
+    locality own_locality_;
     sync_schedule_options options_;
     // Most wanted first.
     std::vector<candidate> candidates_;
     std::size_t current_ = 0;
-    std::optional<host_id> asked_;
+    std::optional<host_id> in_flight_;
     bool ever_succeeded_ = false;
-    time_point try_at_;
+    time_point next_attempt_at_;
     // When to go back to a more wanted one, and to which.
-    std::optional<time_point> return_at_;
-    std::size_t return_to_ = 0;
+    std::optional<time_point> failback_at_;
+    std::size_t failback_target_ = 0;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/membership/sync_schedule_test.cpp
+++ b/nutmegusher/membership/sync_schedule_test.cpp
@@ -15,11 +15,11 @@
 using std::chrono::seconds;
 
 const time_point start(std::chrono::hours(1));
-const place here{data_center_name("a1"), region_name("a")};
-const place near_by{data_center_name("a2"), region_name("a")};
-const place elsewhere{data_center_name("b1"), region_name("b")};
+const locality own_locality{data_center_name("a1"), region_name("a")};
+const locality other_data_center{data_center_name("a2"), region_name("a")};
+const locality other_region{data_center_name("b1"), region_name("b")};
 
-control_host host(const std::string& name, const place& at)
+control_host host(const std::string& name, const locality& at)
 {
     return {host_id(name), "127.0.0.1:" + name, at};
 }
@@ -30,9 +30,9 @@
     sync_schedule_test()
     {
         schedule.set_hosts(
-            {host("far", elsewhere),
-             host("region", near_by),
-             host("own", here)});
+            {host("far", other_region),
+             host("region", other_data_center),
+             host("own", own_locality)});
     }
 
     std::string target(time_point now) const
@@ -41,7 +41,7 @@
     }
 
     random_engine random{1};
-    sync_schedule schedule{host_id("d"), here};
+    sync_schedule schedule{host_id("d"), own_locality};
 };
 
 TEST_F(sync_schedule_test, prefers_the_near_one_and_tries_at_once)
@@ -53,17 +53,17 @@
 // All control hosts start together with the daemon and have a leader after a
 // second; a daemon that backs off meanwhile serves nobody for longer than they
 // take.
-TEST_F(sync_schedule_test, finds_hosts_soon_that_start_together_with_it)
+TEST_F(sync_schedule_test, reaches_hosts_soon_after_a_simultaneous_start)
 {
     using std::chrono::milliseconds;
     duration longest{0};
-    for (int luck = 0; luck < 100; ++luck)
+    for (int trial = 0; trial < 100; ++trial)
     {
-        sync_schedule starting(host_id("d"), here);
+        sync_schedule starting(host_id("d"), own_locality);
         starting.set_hosts(
-            {host("far", elsewhere),
-             host("region", near_by),
-             host("own", here)});
+            {host("far", other_region),
+             host("region", other_data_center),
+             host("own", own_locality)});
         const auto ready = start + seconds(1);
         auto now = start;
         while (now < ready)
@@ -104,14 +104,15 @@
     EXPECT_EQ(target(start), "region");
     EXPECT_LE(
         schedule.plan(start).at,
-        start + sync_schedule_options{}.failover_spread);
+        start + sync_schedule_options{}.failover_jitter);
     schedule.failed(start, random);
     EXPECT_EQ(target(start), "far");
 }
 
 // Two near hosts lost their disks and take a second and a half to fail; by the
 // time that one has, the other's backoff is over.
-TEST_F(sync_schedule_test, slow_failures_of_near_hosts_do_not_hide_a_sound_one)
+TEST_F(
+    sync_schedule_test, slow_failures_of_near_hosts_do_not_starve_a_healthy_one)
 {
     auto now = start;
     for (int tries = 0; target(now) != "far"; ++tries)
@@ -133,11 +134,11 @@
     const sync_schedule_options options;
     const auto wait = schedule.plan(start).at - start;
     EXPECT_GE(wait, options.max_backoff / 2);
-    EXPECT_LE(wait, options.max_backoff + options.failover_spread);
+    EXPECT_LE(wait, options.max_backoff + options.failover_jitter);
     EXPECT_LT(options.max_backoff, seconds(4));
 }
 
-TEST_F(sync_schedule_test, goes_back_to_the_near_one_and_stays_there)
+TEST_F(sync_schedule_test, fails_back_to_the_near_host_and_stays_there)
 {
     schedule.failed(start, random);
     schedule.succeeded(start, random);
@@ -148,7 +149,7 @@
     EXPECT_EQ(target(later + seconds(1)), "own");
 }
 
-TEST_F(sync_schedule_test, failed_way_back_keeps_the_one_in_use)
+TEST_F(sync_schedule_test, failed_failback_keeps_the_current_host)
 {
     schedule.failed(start, random);
     schedule.succeeded(start, random);
@@ -160,7 +161,7 @@
     EXPECT_EQ(target(later + seconds(200)), "own");
 }
 
-TEST_F(sync_schedule_test, same_set_again_does_not_put_off_the_way_back)
+TEST_F(sync_schedule_test, unchanged_host_list_does_not_delay_failback)
 {
     schedule.failed(start, random);
     schedule.succeeded(start, random);
@@ -168,9 +169,9 @@
     {
         const auto now = start + seconds(second);
         schedule.set_hosts(
-            {host("own", here),
-             host("far", elsewhere),
-             host("region", near_by)});
+            {host("own", own_locality),
+             host("far", other_region),
+             host("region", other_data_center)});
         if (target(now) == "region")
         {
             schedule.succeeded(now, random);
@@ -184,9 +185,11 @@
     schedule.failed(start, random);
     schedule.succeeded(start, random);
     schedule.set_hosts(
-        {host("region", near_by), host("own", here), host("new", elsewhere)});
+        {host("region", other_data_center),
+         host("own", own_locality),
+         host("new", other_region)});
     EXPECT_EQ(target(start), "region");
-    schedule.set_hosts({host("new", elsewhere)});
+    schedule.set_hosts({host("new", other_region)});
     EXPECT_EQ(target(start), "new");
 }
 
@@ -198,35 +201,36 @@
     schedule.failed(start, random);
     schedule.succeeded(start, random);
     ASSERT_EQ(target(start), "region");
-    schedule.asked(start);
+    schedule.request_sent(start);
     const auto later = start + seconds(70);
     ASSERT_EQ(target(later), "own");
-    const auto other = schedule.pick_other(later);
+    const auto other = schedule.pick_alternate(later);
     ASSERT_TRUE(other);
     EXPECT_NE(other->host, host_id("region"));
     schedule.failed(later, random);
     EXPECT_NE(target(later), "region");
 }
 
-TEST_F(sync_schedule_test, a_failure_of_a_host_that_is_gone_counts_for_nobody)
+TEST_F(sync_schedule_test, failure_of_a_removed_host_is_ignored)
 {
-    schedule.asked(start);
-    schedule.set_hosts({host("far", elsewhere), host("region", near_by)});
+    schedule.request_sent(start);
+    schedule.set_hosts(
+        {host("far", other_region), host("region", other_data_center)});
     schedule.failed(start, random);
     EXPECT_EQ(target(start), "region");
     EXPECT_EQ(schedule.plan(start).at, start);
 }
 
-TEST_F(sync_schedule_test, moves_to_another_one_that_knows_more)
+TEST_F(sync_schedule_test, switches_to_an_alternate_that_knows_more)
 {
-    const auto first = schedule.pick_other(start);
+    const auto first = schedule.pick_alternate(start);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->host, host_id("region"));
-    schedule.other_failed(first->host, start, random);
-    const auto second = schedule.pick_other(start);
+    schedule.alternate_failed(first->host, start, random);
+    const auto second = schedule.pick_alternate(start);
     ASSERT_TRUE(second);
     EXPECT_EQ(second->host, host_id("far"));
-    schedule.move_to(second->host, start, random);
+    schedule.switch_to(second->host, start, random);
     EXPECT_EQ(target(start), "far");
     EXPECT_EQ(schedule.plan(start).at, start);
     // The one that was left is gone back to, not at once.
@@ -234,10 +238,10 @@
     EXPECT_NE(target(start + seconds(70)), "far");
 }
 
-TEST_F(sync_schedule_test, has_no_other_where_there_is_one_host)
+TEST_F(sync_schedule_test, has_no_alternate_with_a_single_host)
 {
-    schedule.set_hosts({host("own", here)});
-    EXPECT_FALSE(schedule.pick_other(start));
+    schedule.set_hosts({host("own", own_locality)});
+    EXPECT_FALSE(schedule.pick_alternate(start));
 }
 
 std::vector<control_host> equal_hosts(int count)
@@ -246,7 +250,7 @@
     out.reserve(static_cast<std::size_t>(count));
     for (int number = 0; number < count; ++number)
     {
-        out.push_back(host("c" + std::to_string(number), here));
+        out.push_back(host("c" + std::to_string(number), own_locality));
     }
     return out;
 }
@@ -257,7 +261,8 @@
     std::map<std::string, int> moved;
     for (int daemon = 0; daemon < 1000; ++daemon)
     {
-        sync_schedule schedule(host_id("d" + std::to_string(daemon)), here);
+        sync_schedule schedule(
+            host_id("d" + std::to_string(daemon)), own_locality);
         schedule.set_hosts(equal_hosts(5));
         if (schedule.plan(start).target->host == host_id("c0"))
         {
@@ -275,15 +280,16 @@
 
 // A data centre of 2,000 daemons comes back after an outage: how many of them
 // turn to its control host within one second.
-int busiest_second_of_return(const sync_schedule_options& options)
+int max_failbacks_per_second(const sync_schedule_options& options)
 {
     random_engine random(1);
     std::map<long, int> by_second;
     for (int daemon = 0; daemon < 2000; ++daemon)
     {
         sync_schedule schedule(
-            host_id("d" + std::to_string(daemon)), here, options);
-        schedule.set_hosts({host("own", here), host("far", elsewhere)});
+            host_id("d" + std::to_string(daemon)), own_locality, options);
+        schedule.set_hosts(
+            {host("own", own_locality), host("far", other_region)});
         schedule.failed(start, random);
         schedule.succeeded(start, random);
         long second = 0;
@@ -302,13 +308,13 @@
     return busiest;
 }
 
-TEST(sync_schedule, returning_data_center_is_not_stormed)
+TEST(sync_schedule, failback_to_a_recovered_data_center_is_spread)
 {
-    EXPECT_LE(busiest_second_of_return({}), 70);
+    EXPECT_LE(max_failbacks_per_second({}), 70);
     // Without the spread nearly all come within one second.
     EXPECT_GE(
-        busiest_second_of_return(
-            {.return_spread = std::chrono::milliseconds(1)}),
+        max_failbacks_per_second(
+            {.failback_jitter = std::chrono::milliseconds(1)}),
         900);
 }
 
--- a/nutmegusher/membership/upstream_view.cpp
+++ b/nutmegusher/membership/upstream_view.cpp
@@ -7,16 +7,17 @@
 namespace nutmegusher
 {
 
-upstream_view::upstream_view(host_id self, place here, subset_options options)
+upstream_view::upstream_view(
+    host_id self, locality own_locality, subset_options options)
     : self_(std::move(self))
-    , here_(std::move(here))
+    , own_locality_(std::move(own_locality))
     , options_(options)
 {
 }
 
-void upstream_view::want(const service_name& service)
+void upstream_view::add_service(const service_name& service)
 {
-    if (wanted_.insert(service.str()).second)
+    if (services_.insert(service.str()).second)
     {
         // The stamp says nothing about a service that wasn't asked for.
         stamp_ = 0;
@@ -24,9 +25,9 @@
     }
 }
 
-void upstream_view::subscribe(messages::sync_request& request) const
+void upstream_view::fill_request(messages::sync_request& request) const
 {
-    for (const auto& service : wanted_)
+    for (const auto& service : services_)
     {
         request.add_services(service);
     }
@@ -61,7 +62,7 @@
 void upstream_view::put(
     const messages::upstream_record& record, view_change& change)
 {
-    if (!wanted_.contains(record.service()) || was_removed_later(record))
+    if (!services_.contains(record.service()) || has_newer_tombstone(record))
     {
         return;
     }
@@ -89,10 +90,10 @@
         return;
     }
     const auto& record = found->second;
-    removed_.push_back({host, record.incarnation(), record.version()});
-    if (removed_.size() > max_removed)
+    tombstones_.push_back({host, record.incarnation(), record.version()});
+    if (tombstones_.size() > max_tombstones)
     {
-        removed_.pop_front();
+        tombstones_.pop_front();
     }
     by_service_[record.service()].erase(host);
     change.removed.emplace_back(host);
@@ -121,13 +122,13 @@
     }
 }
 
-bool upstream_view::was_removed_later(
+bool upstream_view::has_newer_tombstone(
     const messages::upstream_record& record) const
 {
     return std::any_of(
-        removed_.begin(),
-        removed_.end(),
-        [&](const removed_host& gone)
+        tombstones_.begin(),
+        tombstones_.end(),
+        [&](const tombstone& gone)
         {
             return gone.host == record.host() &&
                    std::tuple(gone.incarnation, gone.version) >
@@ -177,7 +178,7 @@
     }
     std::vector<const messages::upstream_record*> out;
     for (const auto position :
-         choose_subset(self_, here_, candidates, options_))
+         choose_subset(self_, own_locality_, candidates, options_))
     {
         out.push_back(serving[position]);
     }
--- a/nutmegusher/membership/upstream_view.hpp
+++ b/nutmegusher/membership/upstream_view.hpp
@@ -55,9 +55,9 @@
 // Of two records of a host the higher (incarnation, version) holds, so a
 // control host that lags can't bring back what was left behind.
 //
-//     upstream_view view(self, here);
-//     view.want(service_name("balances"));
-//     view.subscribe(request);              // services, stamp, epoch
+//     upstream_view view(self, own_locality);
+//     view.add_service(service_name("balances"));
+//     view.fill_request(request);              // services, stamp, epoch
 //     notify(view, view.apply(reply), pool);
 //     for (const auto* record : view.subset(service_name("balances"))) ...
 //
@@ -65,13 +65,14 @@
 class upstream_view
 {
 public:
-    upstream_view(host_id self, place here, subset_options options = {});
+    upstream_view(
+        host_id self, locality own_locality, subset_options options = {});
 
     // Adds a service that is needed from now on.
-    void want(const service_name& service);
+    void add_service(const service_name& service);
 
     // Fills in what the control host needs to know to answer.
-    void subscribe(messages::sync_request& request) const;
+    void fill_request(messages::sync_request& request) const;
 
     view_change apply(const messages::sync_reply& reply);
 
@@ -95,31 +96,31 @@
 
 private:
     // The last state of a host that was removed.
-    struct removed_host
+    struct tombstone
     {
         std::string host;
         std::uint64_t incarnation;
         std::uint64_t version;
     };
 
-    static constexpr std::size_t max_removed = 256;
+    static constexpr std::size_t max_tombstones = 256;
 
     void put(const messages::upstream_record& record, view_change& change);
     void remove(const std::string& host, view_change& change);
     void remove_missing(const messages::sync_reply& reply, view_change& change);
     [[nodiscard]] bool
-    was_removed_later(const messages::upstream_record& record) const;
+    has_newer_tombstone(const messages::upstream_record& record) const;
 
     host_id self_;
-    place here_;
+    locality own_locality_;
     subset_options options_;
     std::uint64_t stamp_ = 0;
     std::uint64_t epoch_ = 0;
-    std::set<std::string> wanted_;
+    std::set<std::string> services_;
     std::unordered_map<std::string, messages::upstream_record> records_;
     std::map<std::string, std::set<std::string>> by_service_;
     // Bounded; the oldest is forgotten first.
-    std::deque<removed_host> removed_;
+    std::deque<tombstone> tombstones_;
 };
 
 // Tells an observer what a reply changed, removals first.
--- a/nutmegusher/membership/upstream_view_test.cpp
+++ b/nutmegusher/membership/upstream_view_test.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-const place here{data_center_name("a1"), region_name("a")};
+const locality own_locality{data_center_name("a1"), region_name("a")};
 const service_name balances("balances");
 
 messages::upstream_record record(
@@ -48,10 +48,10 @@
 protected:
     upstream_view_test()
     {
-        view.want(balances);
+        view.add_service(balances);
     }
 
-    upstream_view view{host_id("d"), here};
+    upstream_view view{host_id("d"), own_locality};
 };
 
 class observer_mock
@@ -64,7 +64,7 @@
 
 static_assert(view_observer<observer_mock>);
 
-TEST_F(upstream_view_test, observer_hears_what_changed)
+TEST_F(upstream_view_test, observer_is_notified_of_changes)
 {
     ::testing::StrictMock<observer_mock> observer;
     EXPECT_CALL(observer, upstream_added).Times(2);
@@ -86,7 +86,7 @@
     EXPECT_EQ(view.all(balances).size(), 2U);
 }
 
-TEST_F(upstream_view_test, control_host_that_lags_brings_nothing_back)
+TEST_F(upstream_view_test, lagging_control_host_does_not_restore_old_records)
 {
     view.apply(reply({record("a", 1, 2, messages::upstream_leaving)}));
     EXPECT_TRUE(view.apply(reply({record("a", 1, 1)}, true)).empty());
@@ -99,7 +99,7 @@
     EXPECT_FALSE(view.apply(reply({record("a", 1, 2)})).empty());
 }
 
-TEST_F(upstream_view_test, restart_with_a_lower_version_holds)
+TEST_F(upstream_view_test, restart_with_a_lower_version_wins)
 {
     view.apply(reply({record("a", 1, 90)}));
     const auto change = view.apply(reply({record("a", 2, 1)}));
@@ -107,8 +107,7 @@
     EXPECT_EQ(view.find(host_id("a"))->incarnation(), 2U);
 }
 
-TEST_F(
-    upstream_view_test, keeps_what_it_has_when_control_refuses_or_starts_anew)
+TEST_F(upstream_view_test, keeps_upstreams_when_control_refuses_or_restarts)
 {
     view.apply(reply({record("a", 1, 1)}));
     messages::sync_reply refused;
@@ -121,7 +120,7 @@
 {
     view.apply(reply({}));
     messages::sync_request request;
-    view.subscribe(request);
+    view.fill_request(request);
     EXPECT_EQ(request.known_stamp(), 5U);
     EXPECT_EQ(request.registry_epoch(), 9U);
     EXPECT_EQ(request.services_size(), 1);
@@ -130,9 +129,9 @@
 TEST_F(upstream_view_test, new_service_asks_for_complete_lists)
 {
     view.apply(reply({}));
-    view.want(service_name("statements"));
+    view.add_service(service_name("statements"));
     messages::sync_request request;
-    view.subscribe(request);
+    view.fill_request(request);
     EXPECT_EQ(request.known_stamp(), 0U);
     EXPECT_EQ(request.services_size(), 2);
 }
--- a/nutmegusher/node/configuration_age_test.cpp
+++ b/nutmegusher/node/configuration_age_test.cpp
@@ -132,7 +132,7 @@
         time_point current_at;
     };
 
-    static place here()
+    static locality here()
     {
         return {data_center_name("a"), region_name("r")};
     }
@@ -158,8 +158,8 @@
         const auto plan = schedule_.plan(now);
         if (!has_poll() && plan.at <= now)
         {
-            opinions_.asked(now);
-            schedule_.asked(now);
+            opinions_.request_sent(now);
+            schedule_.request_sent(now);
             send(*plan.target, true, now);
         }
     }
@@ -170,10 +170,10 @@
         {
             return;
         }
-        opinions_.asked_other(now, random_);
+        opinions_.hedge_sent(now, random_);
         if (open_.size() - (has_poll() ? 1 : 0) < most_others_at_once)
         {
-            send(*schedule_.pick_other(now), false, now);
+            send(*schedule_.pick_alternate(now), false, now);
         }
     }
 
@@ -244,12 +244,12 @@
     void
     take(const question& asked, const std::optional<reply>& got, time_point now)
     {
-        const bool is_needed = opinions_.is_old(now);
+        const bool is_needed = opinions_.is_stale(now);
         bool is_current = false;
         if (got)
         {
             items_ = std::max(items_, got->items);
-            opinions_.learned(got->current_at);
+            opinions_.advance_current_at(got->current_at);
             is_current = now - got->current_at <= oldest_taken;
         }
         if (asked.is_poll)
@@ -259,12 +259,12 @@
         }
         else if (!is_current)
         {
-            schedule_.other_failed(name_of(asked.at), now, random_);
+            schedule_.alternate_failed(name_of(asked.at), now, random_);
         }
         else if (is_needed)
         {
             moved_ = true;
-            schedule_.move_to(name_of(asked.at), now, random_);
+            schedule_.switch_to(name_of(asked.at), now, random_);
         }
     }
 
@@ -272,7 +272,7 @@
     network& net_;
     random_engine random_;
     sync_schedule schedule_;
-    opinion_schedule opinions_;
+    hedge_schedule opinions_;
     std::vector<question> open_;
     bool moved_ = false;
     std::size_t items_ = 0;
--- a/nutmegusher/node/control_part.cpp
+++ b/nutmegusher/node/control_part.cpp
@@ -242,7 +242,8 @@
     for (const auto& each : tally.lagging(wanted))
     {
         lagging.push_back(json::object{
-            {"host", each.host.str()}, {"revision", each.runs.value()}});
+            {"host", each.host.str()},
+            {"revision", each.running_revision.value()}});
     }
     const auto summary = tally.summary();
     json::array counts;
--- a/nutmegusher/node/sync_client.cpp
+++ b/nutmegusher/node/sync_client.cpp
@@ -46,7 +46,7 @@
     return hosts;
 }
 
-place place_of(const host_settings& host)
+locality place_of(const host_settings& host)
 {
     return {host.data_center, host.region};
 }
@@ -107,8 +107,8 @@
     const auto at = parse_endpoint(target.address);
     news_ = false;
     const auto sent_at = host_clock().now();
-    opinions_.asked(sent_at);
-    schedule_.asked(sent_at);
+    opinions_.request_sent(sent_at);
+    schedule_.request_sent(sent_at);
     messages::sync_request request;
     std::optional<messages::sync_reply> reply;
     polling_ = true;
@@ -170,12 +170,12 @@
             co_await age_timer_.async_wait(as_tuple_awaitable);
             continue;
         }
-        opinions_.asked_other(now, here_.random);
+        opinions_.hedge_sent(now, here_.random);
         if (others_asked_ >= most_others_at_once)
         {
             continue;
         }
-        if (auto other = schedule_.pick_other(now))
+        if (auto other = schedule_.pick_alternate(now))
         {
             asio::co_spawn(
                 here_.context, ask_other(*std::move(other)), asio::detached);
@@ -204,18 +204,18 @@
     --others_asked_;
     const auto now = host_clock().now();
     // The poll, or another question, may have brought newer knowledge.
-    const bool is_needed = opinions_.is_old(now);
+    const bool is_needed = opinions_.is_stale(now);
     const bool is_current =
         reply && reply->accepted() && take_configuration(*reply, sent_at);
     if (!is_current)
     {
-        schedule_.other_failed(target.host, now, here_.random);
+        schedule_.alternate_failed(target.host, now, here_.random);
     }
     else if (is_needed)
     {
         leave_poll();
         take_members(request, *reply);
-        schedule_.move_to(target.host, now, here_.random);
+        schedule_.switch_to(target.host, now, here_.random);
         note_reached(target.address, true);
     }
 }
@@ -241,7 +241,7 @@
 {
     const auto now = host_clock().now();
     const auto current_at = opinions_.current_at();
-    const bool is_old = knows_something() && opinions_.is_old(now);
+    const bool is_old = knows_something() && opinions_.is_stale(now);
     const auto report = age_watch_.update(is_old, now);
     const std::scoped_lock lock(mutex_);
     current_at_ = current_at;
@@ -300,7 +300,7 @@
         if (!knows_something())
         {
             // Others asked meanwhile would send it a second time.
-            opinions_.asked(host_clock().now());
+            opinions_.request_sent(host_clock().now());
         }
         const auto got = co_await open->read_some(piece);
         if (!got || *got == 0)
@@ -323,7 +323,7 @@
 {
     for (const auto& service : here_.shared.routes.wanted())
     {
-        view_.want(service);
+        view_.add_service(service);
     }
     const auto& shared = here_.shared;
     const auto& host = shared.configured.host;
@@ -338,7 +338,7 @@
     {
         *request.mutable_own() = *own;
     }
-    view_.subscribe(request);
+    view_.fill_request(request);
     shared.crashes.fill(request);
     request.set_linearizable(!confirmed_);
     const auto wait =
@@ -367,7 +367,7 @@
     }
     const std::chrono::milliseconds after(reply.current_after_ms());
     const auto current_at = sent_at + after;
-    opinions_.learned(current_at);
+    opinions_.advance_current_at(current_at);
     return host_clock().now() - current_at <= oldest_taken;
 }
 
@@ -417,7 +417,7 @@
 void sync_client::update_routes()
 {
     messages::sync_request subscribed;
-    view_.subscribe(subscribed);
+    view_.fill_request(subscribed);
     for (const auto& service : subscribed.services())
     {
         std::vector<messages::upstream_record> records;
--- a/nutmegusher/node/sync_client.hpp
+++ b/nutmegusher/node/sync_client.hpp
@@ -86,7 +86,7 @@
     worker& here_;
     upstream_view view_;
     sync_schedule schedule_;
-    opinion_schedule opinions_;
+    hedge_schedule opinions_;
     lag_watch age_watch_;
     asio::steady_timer wake_;
     asio::steady_timer age_timer_;
--- a/nutmegusher/node/sync_server.cpp
+++ b/nutmegusher/node/sync_server.cpp
@@ -172,7 +172,7 @@
         const std::scoped_lock lock(mutex_);
         const auto before = registry_.counts().stamp;
         const auto renewed = registry_.renew(arrived, request);
-        reply.set_accepted(renewed == renewal::accepted);
+        reply.set_accepted(renewed == renewal_result::accepted);
         if (!reply.accepted())
         {
             reply.set_known_incarnation(
