--- a/bench/policy/naive.cpp
+++ b/bench/policy/naive.cpp
@@ -91,7 +91,7 @@
     return upstream_handle(next_ + 1);
 }
 
-bool naive_router::takes_elsewhere(
+bool naive_router::has_alternative(
     const call_facts& /*call*/,
     std::span<const upstream_handle> /*tried*/,
     time_point /*now*/) const
--- a/bench/policy/naive.hpp
+++ b/bench/policy/naive.hpp
@@ -52,7 +52,7 @@
         std::span<const upstream_handle> tried,
         time_point now,
         random_engine& engine);
-    [[nodiscard]] bool takes_elsewhere(
+    [[nodiscard]] bool has_alternative(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
--- a/bench/policy/policy_bench.cpp
+++ b/bench/policy/policy_bench.cpp
@@ -145,7 +145,7 @@
     failed.repeatable = true;
     failed.tokens = 2;
     failed.time_left = std::chrono::milliseconds(500);
-    failed.takes_elsewhere = true;
+    failed.has_alternative = true;
     for (auto _ : state)
     {
         benchmark::DoNotOptimize(decide_retry(failed, engine));
--- a/bench/policy/replay_clients.hpp
+++ b/bench/policy/replay_clients.hpp
@@ -156,7 +156,7 @@
     client_request& asked = requests_.at(one.request);
     host& entry = hosts_[one.entry];
     const bool again =
-        entry.keys.repeated(one.request, events_.now()) || asked.tries > 1;
+        entry.keys.is_repeated(one.request, events_.now()) || asked.tries > 1;
     one.tokens = entry.budgets[asked.work_class].begin(again);
     if constexpr (Decisions::gated)
     {
@@ -171,7 +171,7 @@
                 client,
                 {.how = try_failure::overload,
                  .certainly_not_run = true,
-                 .come_back = spread(refusal->come_back_after, engine_)});
+                 .come_back = jittered(refusal->come_back_after, engine_)});
             return;
         }
     }
@@ -256,7 +256,7 @@
     {
         return;
     }
-    duration pause = spread(load_.clients.pause, engine_);
+    duration pause = jittered(load_.clients.pause, engine_);
     if (load_.clients.wait_as_told)
     {
         pause = std::max(pause, told);
--- a/bench/policy/replay_hops.hpp
+++ b/bench/policy/replay_hops.hpp
@@ -195,7 +195,7 @@
     }
     const call_facts facts = facts_of(*one);
     auto& route = hosts_[one->caller].routers[hosts_[one->upstream].service];
-    if (!route.worth_moving(facts, one->tried, events_.now()))
+    if (!route.should_try_elsewhere(facts, one->tried, events_.now()))
     {
         return;
     }
@@ -260,7 +260,7 @@
     if constexpr (Decisions::gated)
     {
         const admission_level ahead =
-            level_ahead(route, answer.levels, facts.bulk, now);
+            call_path_level(route, answer.levels, facts.bulk, now);
         if (call.depth == 0)
         {
             caller.gate.on_level(facts, ahead, now);
@@ -296,8 +296,8 @@
     failed.certainly_not_run = answer.certainly_not_run;
     failed.tokens = one->tokens;
     failed.time_left = facts.deadline - events_.now();
-    failed.takes_elsewhere =
-        route.takes_elsewhere(facts, one->tried, events_.now());
+    failed.has_alternative =
+        route.has_alternative(facts, one->tried, events_.now());
     failed.tries = one->tries;
     const retry_decision verdict = Decisions::retry(failed, engine_);
     if (std::holds_alternative<no_retry>(verdict))
--- a/bench/policy/replay_types.hpp
+++ b/bench/policy/replay_types.hpp
@@ -108,7 +108,7 @@
     entry_gate gate;
     chain_levels levels;
     std::vector<retry_budget> budgets;
-    repeated_keys keys;
+    repeated_key_detector keys;
 };
 
 } // namespace nutmegusher::bench
--- a/nutmegusher/node/crash_store_test.cpp
+++ b/nutmegusher/node/crash_store_test.cpp
@@ -22,9 +22,9 @@
     record.service = "views";
     for (std::uint64_t upstream = 1; upstream <= 3; ++upstream)
     {
-        const auto ended_at = now - milliseconds(1000 * (4 - upstream));
+        const auto crashed_at = now - milliseconds(1000 * (4 - upstream));
         record.ends.push_back(
-            {upstream, ended_at - milliseconds(70), ended_at});
+            {upstream, crashed_at - milliseconds(70), crashed_at});
     }
     return {record};
 }
@@ -62,11 +62,11 @@
     const auto kept = load_crashes(disk, later, wall_ms + 5000);
     ASSERT_TRUE(kept);
     ASSERT_EQ(kept->size(), 1U);
-    EXPECT_EQ(later - kept->front().ends.back().ended_at, milliseconds(6000));
+    EXPECT_EQ(later - kept->front().ends.back().crashed_at, milliseconds(6000));
     crash_evidence evidence;
     evidence.merge(kept->front(), later);
     EXPECT_EQ(
-        evidence.judge(77, later).suspicion, crash_suspicion::quarantined);
+        evidence.assess(77, later).suspicion, crash_suspicion::quarantined);
 }
 
 TEST_F(crash_store, a_clock_that_was_set_back_adds_no_age)
@@ -74,7 +74,7 @@
     const auto bytes = encode_crashes(one_record(), now, wall_ms);
     const auto kept = decode_crashes(bytes, now, wall_ms - 60'000);
     ASSERT_EQ(kept.size(), 1U);
-    EXPECT_EQ(now - kept.front().ends.back().ended_at, milliseconds(1000));
+    EXPECT_EQ(now - kept.front().ends.back().crashed_at, milliseconds(1000));
 }
 
 TEST_F(crash_store, damaged_bytes_are_no_evidence)
--- a/nutmegusher/node/crash_watch.cpp
+++ b/nutmegusher/node/crash_watch.cpp
@@ -79,8 +79,8 @@
     {
         auto& end = *made.add_ends();
         end.set_upstream(each.upstream);
-        end.set_ended_ago_ms(to_age(each.ended_at, now));
-        end.set_ran_ms(to_age(each.begun_at, each.ended_at));
+        end.set_ended_ago_ms(to_age(each.crashed_at, now));
+        end.set_ran_ms(to_age(each.started_at, each.crashed_at));
     }
     if (from.cleared_at != time_point())
     {
@@ -96,9 +96,9 @@
     made.service = from.service();
     for (const auto& each : from.ends())
     {
-        const auto ended_at = from_age(each.ended_ago_ms(), now);
+        const auto crashed_at = from_age(each.ended_ago_ms(), now);
         made.ends.push_back(
-            {each.upstream(), from_age(each.ran_ms(), ended_at), ended_at});
+            {each.upstream(), from_age(each.ran_ms(), crashed_at), crashed_at});
     }
     if (from.has_cleared_ago_ms())
     {
@@ -126,10 +126,10 @@
     }
 }
 
-crash_judgement crash_watch::judge(std::uint64_t digest) const
+crash_assessment crash_watch::assess(std::uint64_t digest) const
 {
     const std::scoped_lock lock(mutex_);
-    return evidence_.judge(digest, host_clock().now());
+    return evidence_.assess(digest, host_clock().now());
 }
 
 bool crash_watch::begin_suspect(std::uint64_t digest)
@@ -155,7 +155,7 @@
 
 bool crash_watch::is_quarantined(std::uint64_t digest, time_point now) const
 {
-    return evidence_.judge(digest, now).suspicion ==
+    return evidence_.assess(digest, now).suspicion ==
            crash_suspicion::quarantined;
 }
 
@@ -172,7 +172,7 @@
          {"service", told.service},
          {"ends",
           std::uint64_t{
-              evidence_.judge(told.digest, host_clock().now()).ends}}});
+              evidence_.assess(told.digest, host_clock().now()).ends}}});
 }
 
 void crash_watch::tell(std::uint64_t digest)
@@ -207,22 +207,22 @@
     {
         const std::scoped_lock lock(mutex_);
         const bool before = is_quarantined(digest, now);
-        const crash_end end{upstream, now - ran_for, now};
-        evidence_.add_end(digest, end, service.str(), now);
+        const upstream_crash end{upstream, now - ran_for, now};
+        evidence_.add_crash(digest, end, service.str(), now);
         tell(digest);
         note_quarantine({digest, service.str(), {}, {}}, before);
     }
     on_news();
 }
 
-work_in_progress::ticket crash_watch::begin_run(std::uint64_t digest)
+in_flight_requests::ticket crash_watch::begin_run(std::uint64_t digest)
 {
     const std::scoped_lock lock(mutex_);
     return runs_.begin(digest, host_clock().now());
 }
 
 void crash_watch::complete_run(
-    work_in_progress::ticket of, std::uint64_t digest)
+    in_flight_requests::ticket of, std::uint64_t digest)
 {
     bool is_news = false;
     {
@@ -240,16 +240,16 @@
     }
 }
 
-void crash_watch::leave_run(work_in_progress::ticket of)
+void crash_watch::leave_run(in_flight_requests::ticket of)
 {
     const std::scoped_lock lock(mutex_);
     runs_.end(of);
 }
 
-void crash_watch::lose_run(work_in_progress::ticket of)
+void crash_watch::lose_run(in_flight_requests::ticket of)
 {
     const std::scoped_lock lock(mutex_);
-    runs_.lose(of, host_clock().now());
+    runs_.mark_lost(of, host_clock().now());
 }
 
 void crash_watch::on_upstream_ended(
@@ -267,14 +267,14 @@
         std::uint64_t suspected = 0;
         for (const auto& each : at_work)
         {
-            if (evidence_.has_completed_lately(each.digest, now))
+            if (evidence_.completed_recently(each.digest, now))
             {
                 continue;
             }
             ++suspected;
             const bool before = is_quarantined(each.digest, now);
-            const crash_end end{upstream, each.begun_at, now};
-            evidence_.add_end(each.digest, end, service.str(), now);
+            const upstream_crash end{upstream, each.started_at, now};
+            evidence_.add_crash(each.digest, end, service.str(), now);
             tell(each.digest);
             note_quarantine({each.digest, service.str(), {}, {}}, before);
         }
@@ -323,7 +323,7 @@
         const bool before = is_quarantined(record.digest, now);
         evidence_.merge(record, now);
         note_quarantine(record, before);
-        const bool counts = evidence_.judge(record.digest, now).ends > 0;
+        const bool counts = evidence_.assess(record.digest, now).ends > 0;
         if (!record.ends.empty() && !counts)
         {
             // It has completed here since.
--- a/nutmegusher/node/crash_watch.hpp
+++ b/nutmegusher/node/crash_watch.hpp
@@ -50,7 +50,7 @@
     crash_watch& operator=(const crash_watch&) = delete;
 
     // Where a request enters.
-    [[nodiscard]] crash_judgement judge(std::uint64_t digest) const;
+    [[nodiscard]] crash_assessment assess(std::uint64_t digest) const;
 
     // False where such a request is at work for this entry already: of one that
     // is known from two ends or more, one at a time.
@@ -65,10 +65,10 @@
         const service_name& service);
 
     // Beside the upstream: a run, and how it ended.
-    [[nodiscard]] work_in_progress::ticket begin_run(std::uint64_t digest);
-    void complete_run(work_in_progress::ticket of, std::uint64_t digest);
-    void leave_run(work_in_progress::ticket of);
-    void lose_run(work_in_progress::ticket of);
+    [[nodiscard]] in_flight_requests::ticket begin_run(std::uint64_t digest);
+    void complete_run(in_flight_requests::ticket of, std::uint64_t digest);
+    void leave_run(in_flight_requests::ticket of);
+    void lose_run(in_flight_requests::ticket of);
 
     // The upstream of that name (`upstream`: hash of it and its start) has
     // ended: whatever was at work there is suspected. Only the first call for
@@ -104,7 +104,7 @@
 
     mutable std::mutex mutex_;
     crash_evidence evidence_;
-    work_in_progress runs_;
+    in_flight_requests runs_;
     std::multiset<std::uint64_t> suspects_;
     // The upstream that ended last.
     std::uint64_t ended_ = 0;
--- a/nutmegusher/node/crash_watch_test.cpp
+++ b/nutmegusher/node/crash_watch_test.cpp
@@ -71,7 +71,7 @@
     watch.on_upstream_ended(1, "i-1", views);
     watch.lose_run(second);
     watch.on_upstream_ended(1, "i-1", views);
-    EXPECT_EQ(watch.judge(digest).ends, 1U);
+    EXPECT_EQ(watch.assess(digest).ends, 1U);
 }
 
 TEST(crash_watch, does_not_suspect_what_completed_there_a_moment_ago)
@@ -80,7 +80,7 @@
     const auto whole = watch.begin_run(digest);
     watch.complete_run(whole, digest);
     see_end(watch, 1);
-    EXPECT_EQ(watch.judge(digest).suspicion, crash_suspicion::none);
+    EXPECT_EQ(watch.assess(digest).suspicion, crash_suspicion::none);
 }
 
 TEST(crash_watch, takes_what_the_entry_and_the_upstream_side_saw_for_one_end)
@@ -88,7 +88,7 @@
     crash_watch watch;
     see_end(watch, 1);
     watch.note_end(digest, 1, std::chrono::milliseconds(50), views);
-    EXPECT_EQ(watch.judge(digest).ends, 1U);
+    EXPECT_EQ(watch.assess(digest).ends, 1U);
 }
 
 TEST(crash_watch, lets_a_suspect_in_one_at_a_time)
@@ -115,9 +115,9 @@
     const auto read = from_message(to_message(record, now), later);
     ASSERT_EQ(read.ends.size(), 1U);
     EXPECT_EQ(read.ends[0].upstream, 5U);
-    EXPECT_EQ(later - read.ends[0].ended_at, std::chrono::milliseconds(830));
+    EXPECT_EQ(later - read.ends[0].crashed_at, std::chrono::milliseconds(830));
     EXPECT_EQ(
-        read.ends[0].ended_at - read.ends[0].begun_at,
+        read.ends[0].crashed_at - read.ends[0].started_at,
         std::chrono::milliseconds(70));
     EXPECT_EQ(read.cleared_at, time_point());
 }
--- a/nutmegusher/node/forward_filter.cpp
+++ b/nutmegusher/node/forward_filter.cpp
@@ -211,7 +211,7 @@
         facts.certainly_not_run = failed.certainly_not_run;
         facts.tokens = call_.tokens().count();
         facts.time_left = call_.time_left();
-        facts.takes_elsewhere = call_.here.shared.routes.takes_elsewhere(
+        facts.has_alternative = call_.here.shared.routes.has_alternative(
             call_.work_class->service, call_.facts(), tried_);
         facts.tries = call_.tries;
         return decide_retry(facts, call_.here.random);
@@ -226,8 +226,8 @@
         if (told.come_back <= duration::zero() && status_of(told.reason) >= 500)
         {
             // A fault without a known end: about the time that a call takes.
-            told.come_back = spread(
-                std::max(shortest_return, call_.work_class->target / 2),
+            told.come_back = jittered(
+                std::max(min_retry_after, call_.work_class->target / 2),
                 call_.here.random);
         }
         co_await call_.refuse(told);
--- a/nutmegusher/node/forward_try.cpp
+++ b/nutmegusher/node/forward_try.cpp
@@ -232,7 +232,8 @@
 {
     const std::array tried{to_.handle};
     const auto& service = call_.work_class->service;
-    if (call_.here.shared.routes.worth_moving(service, call_.facts(), tried))
+    if (call_.here.shared.routes.should_try_elsewhere(
+            service, call_.facts(), tried))
     {
         moved_ = true;
         stream_->cancel();
@@ -403,7 +404,7 @@
         event::connection_failed,
         {{"to", to_.host.str()}, {"why", wire::to_string(failure)}});
     const refusal told{
-        call_reason::no_upstream, call_outcome::not_run, shortest_return};
+        call_reason::no_upstream, call_outcome::not_run, min_retry_after};
     return {try_failure::not_connected, true, told};
 }
 
@@ -422,7 +423,7 @@
         const refusal told{
             call_reason::connection_lost,
             call_outcome::unknown,
-            shortest_return};
+            min_retry_after};
         return {try_failure::connection_lost, false, told};
     }
     if (failure == timed_out)
@@ -442,7 +443,7 @@
     const refusal told{
         not_run ? call_reason::leaving : call_reason::connection_lost,
         result,
-        shortest_return};
+        min_retry_after};
     return {how, not_run, told};
 }
 
--- a/nutmegusher/node/operator_api.cpp
+++ b/nutmegusher/node/operator_api.cpp
@@ -142,7 +142,7 @@
     for (const auto& each : records)
     {
         const std::chrono::duration<double> age =
-            now - each.ends.back().ended_at;
+            now - each.ends.back().crashed_at;
         all.push_back(json::object{
             {"digest", digest_text(each.digest)},
             {"service", each.service},
--- a/nutmegusher/node/pressure_controller.cpp
+++ b/nutmegusher/node/pressure_controller.cpp
@@ -15,7 +15,7 @@
     auto no = shard.gate.check(call, host_clock().now());
     if (no)
     {
-        no->come_back_after = spread(no->come_back_after, engine);
+        no->come_back_after = jittered(no->come_back_after, engine);
     }
     return no;
 }
@@ -49,7 +49,7 @@
     auto& shard = shard_of(work_class);
     const std::scoped_lock lock(shard.mutex);
     const bool again =
-        key_hash != 0 && shard.keys.repeated(key_hash, host_clock().now());
+        key_hash != 0 && shard.keys.is_repeated(key_hash, host_clock().now());
     return shard.budgets[work_class].begin(again);
 }
 
--- a/nutmegusher/node/pressure_controller.hpp
+++ b/nutmegusher/node/pressure_controller.hpp
@@ -52,7 +52,7 @@
         mutable std::mutex mutex;
         entry_gate gate;
         chain_levels levels;
-        repeated_keys keys;
+        repeated_key_detector keys;
         std::unordered_map<std::uint64_t, retry_budget> budgets;
     };
 
--- a/nutmegusher/node/route_controller.cpp
+++ b/nutmegusher/node/route_controller.cpp
@@ -206,7 +206,7 @@
         routes->route.on_leaving(at, bulk, now);
         break;
     case try_end::gone:
-        routes->route.on_gone(at, bulk, now);
+        routes->route.on_address_reused(at, bulk, now);
         break;
     case try_end::neutral:
         routes->route.on_neutral(at, bulk, now);
@@ -238,7 +238,7 @@
     const std::scoped_lock lock(routes->mutex);
     const auto now = host_clock().now();
     routes->route.on_level(at, levels.own, now);
-    return level_ahead(routes->route, levels, bulk, now);
+    return call_path_level(routes->route, levels, bulk, now);
 }
 
 std::optional<duration> route_controller::try_timeout(
@@ -253,7 +253,7 @@
     return routes->route.try_timeout(at, bulk);
 }
 
-bool route_controller::worth_moving(
+bool route_controller::should_try_elsewhere(
     const service_name& service,
     const call_facts& call,
     std::span<const upstream_handle> tried) const
@@ -264,10 +264,10 @@
         return false;
     }
     const std::scoped_lock lock(routes->mutex);
-    return routes->route.worth_moving(call, tried, host_clock().now());
+    return routes->route.should_try_elsewhere(call, tried, host_clock().now());
 }
 
-bool route_controller::takes_elsewhere(
+bool route_controller::has_alternative(
     const service_name& service,
     const call_facts& call,
     std::span<const upstream_handle> tried) const
@@ -278,7 +278,7 @@
         return false;
     }
     const std::scoped_lock lock(routes->mutex);
-    return routes->route.takes_elsewhere(call, tried, host_clock().now());
+    return routes->route.has_alternative(call, tried, host_clock().now());
 }
 
 json::value route_controller::dump() const
--- a/nutmegusher/node/route_controller.hpp
+++ b/nutmegusher/node/route_controller.hpp
@@ -101,13 +101,13 @@
         const service_name& service, upstream_handle at, bool bulk) const;
 
     // Whether it is, now.
-    [[nodiscard]] bool worth_moving(
+    [[nodiscard]] bool should_try_elsewhere(
         const service_name& service,
         const call_facts& call,
         std::span<const upstream_handle> tried) const;
 
     // Whether another upstream would take the call now.
-    [[nodiscard]] bool takes_elsewhere(
+    [[nodiscard]] bool has_alternative(
         const service_name& service,
         const call_facts& call,
         std::span<const upstream_handle> tried) const;
--- a/nutmegusher/node/sync_server_test.cpp
+++ b/nutmegusher/node/sync_server_test.cpp
@@ -223,7 +223,7 @@
     auto told = exchange("d1", "views", seeing);
     ASSERT_EQ(held.wait_for(hold / 2), std::future_status::ready);
     calling.on_reply(held_request, held.get().value());
-    EXPECT_EQ(calling.judge(digest).ends, 1U);
+    EXPECT_EQ(calling.assess(digest).ends, 1U);
     told.wait();
 }
 
@@ -253,7 +253,7 @@
     crash_watch started;
     registry = exchange("d2", "views", started).get().value();
     started.on_reply(last_request, registry);
-    EXPECT_EQ(started.judge(digest).suspicion, crash_suspicion::quarantined);
+    EXPECT_EQ(started.assess(digest).suspicion, crash_suspicion::quarantined);
 }
 
 } // namespace
--- a/nutmegusher/policy/admission_lane.cpp
+++ b/nutmegusher/policy/admission_lane.cpp
@@ -1,6 +1,6 @@
 #include "nutmegusher/policy/admission_lane.hpp"
 
-#include "nutmegusher/policy/return_time.hpp"
+#include "nutmegusher/policy/retry_after_schedule.hpp"
 
 #include <algorithm>
 
@@ -168,7 +168,7 @@
     const std::size_t rank = std::min<std::size_t>(call.rank, rank_count - 1);
     const duration wait =
         returns_[rank].next(room_per_second(call.rank, now), now);
-    return {reason, spread(wait, engine)};
+    return {reason, jittered(wait, engine)};
 }
 
 double admission_lane::room_per_second(std::uint8_t rank, time_point now) const
--- a/nutmegusher/policy/admission_lane.hpp
+++ b/nutmegusher/policy/admission_lane.hpp
@@ -7,7 +7,7 @@
 #include "nutmegusher/policy/concurrency_limit.hpp"
 #include "nutmegusher/policy/pressure_meter.hpp"
 #include "nutmegusher/policy/rank_queue.hpp"
-#include "nutmegusher/policy/return_time.hpp"
+#include "nutmegusher/policy/retry_after_schedule.hpp"
 #include "nutmegusher/policy/service_times.hpp"
 
 #include <array>
@@ -137,7 +137,7 @@
     rank_queue queue_;
     service_times times_;
     pressure_meter meter_;
-    std::array<return_schedule, rank_count> returns_;
+    std::array<retry_after_schedule, rank_count> returns_;
     std::unordered_map<ticket_id, running_call> running_;
     std::size_t in_sub_calls_ = 0;
     // Moving mean of the time that a slot is taken, in seconds.
--- a/nutmegusher/policy/crash_evidence.cpp
+++ b/nutmegusher/policy/crash_evidence.cpp
@@ -12,48 +12,48 @@
 {
 
 // More would say no more: three of them quarantine, and the last renews it.
-constexpr std::size_t most_ends_kept = 6;
+constexpr std::size_t max_crashes_kept = 6;
 // Two hosts see one moment this much apart at most, as messages take their
 // time. What completes isn't to blame for an end a little later either.
-constexpr duration time_slack = std::chrono::milliseconds(250);
+constexpr duration clearing_tolerance = std::chrono::milliseconds(250);
 
 // Times that two hosts told differ by less.
-constexpr duration time_jitter = std::chrono::milliseconds(100);
+constexpr duration time_tolerance = std::chrono::milliseconds(100);
 
-bool is_cleared(const crash_record& record, const crash_end& end)
+bool is_cleared(const crash_record& record, const upstream_crash& end)
 {
     return record.cleared_at != time_point() &&
-           end.ended_at <= record.cleared_at + time_slack;
+           end.crashed_at <= record.cleared_at + clearing_tolerance;
 }
 
 // Not an echo of the clearing that is known.
-bool is_later_clearing(const crash_record& mine, time_point at)
+bool is_newer_clearing(const crash_record& known, time_point at)
 {
-    return at != time_point() && (mine.cleared_at == time_point() ||
-                                  at > mine.cleared_at + time_slack);
+    return at != time_point() && (known.cleared_at == time_point() ||
+                                  at > known.cleared_at + clearing_tolerance);
 }
 
-bool is_earlier(const crash_end& left, const crash_end& right)
+bool is_earlier(const upstream_crash& left, const upstream_crash& right)
 {
-    return std::pair(left.ended_at, left.upstream) <
-           std::pair(right.ended_at, right.upstream);
+    return std::pair(left.crashed_at, left.upstream) <
+           std::pair(right.crashed_at, right.upstream);
 }
 
 // One of the runs began after another one's upstream had ended.
-bool came_again(const std::vector<crash_end>& ends)
+bool recurred_after_crash(const std::vector<upstream_crash>& ends)
 {
     return std::ranges::any_of(
         ends,
-        [&ends](const crash_end& later)
+        [&ends](const upstream_crash& later)
         {
-            return later.begun_at >= ends.front().ended_at + time_jitter;
+            return later.started_at >= ends.front().crashed_at + time_tolerance;
         });
 }
 
 // The oldest without which it still came again, if it did.
-std::size_t dispensable(const std::vector<crash_end>& ends)
+std::size_t index_to_evict(const std::vector<upstream_crash>& ends)
 {
-    if (!came_again(ends))
+    if (!recurred_after_crash(ends))
     {
         return 0;
     }
@@ -61,7 +61,7 @@
     {
         auto rest = ends;
         rest.erase(std::next(rest.begin(), static_cast<std::ptrdiff_t>(index)));
-        if (came_again(rest))
+        if (recurred_after_crash(rest))
         {
             return index;
         }
@@ -69,32 +69,34 @@
     return 0;
 }
 
-void insert_in_order(std::vector<crash_end>& ends, const crash_end& one)
+void insert_in_order(
+    std::vector<upstream_crash>& ends, const upstream_crash& crash)
 {
-    ends.insert(std::ranges::upper_bound(ends, one, is_earlier), one);
+    ends.insert(std::ranges::upper_bound(ends, crash, is_earlier), crash);
 }
 
 // False: known already, or too early to count.
-bool insert(std::vector<crash_end>& ends, const crash_end& one)
+bool insert(std::vector<upstream_crash>& ends, const upstream_crash& crash)
 {
-    if (std::ranges::find(ends, one.upstream, &crash_end::upstream) !=
+    if (std::ranges::find(ends, crash.upstream, &upstream_crash::upstream) !=
         ends.end())
     {
         return false;
     }
     auto all = ends;
-    insert_in_order(all, one);
-    if (all.size() > most_ends_kept)
+    insert_in_order(all, crash);
+    if (all.size() > max_crashes_kept)
     {
         const auto victim = std::next(
-            all.begin(), static_cast<std::ptrdiff_t>(dispensable(all)));
+            all.begin(), static_cast<std::ptrdiff_t>(index_to_evict(all)));
         // Ends of one moment would otherwise push each other out for ever, as
         // hosts tell each other of them.
-        const bool is_of_one_moment =
-            one.ended_at <= victim->ended_at + time_slack;
-        const bool shows_more = came_again(all) && !came_again(ends);
-        if (victim->upstream == one.upstream ||
-            (is_of_one_moment && !shows_more))
+        const bool is_simultaneous =
+            crash.crashed_at <= victim->crashed_at + clearing_tolerance;
+        const bool proves_recurrence =
+            recurred_after_crash(all) && !recurred_after_crash(ends);
+        if (victim->upstream == crash.upstream ||
+            (is_simultaneous && !proves_recurrence))
         {
             return false;
         }
@@ -113,7 +115,7 @@
     record.cleared_at = at;
     std::erase_if(
         record.ends,
-        [&record](const crash_end& each)
+        [&record](const upstream_crash& each)
         {
             return is_cleared(record, each);
         });
@@ -127,10 +129,10 @@
 {
 }
 
-void crash_evidence::note_change(entry& of, time_point now)
+void crash_evidence::mark_changed(entry& target, time_point now)
 {
-    of.changed = ++stamp_;
-    of.changed_at = now;
+    target.changed_stamp = ++stamp_;
+    target.changed_at = now;
 }
 
 crash_evidence::entry& crash_evidence::find_or_add(
@@ -141,46 +143,47 @@
     {
         return found->second;
     }
-    make_room(now);
+    evict_if_full(now);
     auto& made = records_[digest];
     made.record.digest = digest;
     made.record.service = service;
     return made;
 }
 
-void crash_evidence::make_room(time_point now)
+void crash_evidence::evict_if_full(time_point now)
 {
-    if (records_.size() < options_.most_records)
+    if (records_.size() < options_.max_records)
     {
         return;
     }
-    const auto weight = [this, now](const auto& item)
+    const auto eviction_order = [this, now](const auto& item)
     {
-        const auto found = judge(item.second.record, now);
-        const bool is_kept_last =
+        const auto found = assess(item.second.record, now);
+        const bool is_quarantined =
             found.suspicion == crash_suspicion::quarantined;
-        const bool is_kept_longer = found.ends > 1;
-        return std::tuple(is_kept_last, is_kept_longer, item.second.changed_at);
+        const bool has_several_crashes = found.ends > 1;
+        return std::tuple(
+            is_quarantined, has_several_crashes, item.second.changed_at);
     };
-    records_.erase(std::ranges::min_element(records_, {}, weight));
+    records_.erase(std::ranges::min_element(records_, {}, eviction_order));
 }
 
-void crash_evidence::add_end(
+void crash_evidence::add_crash(
     std::uint64_t digest,
-    const crash_end& end,
+    const upstream_crash& end,
     const std::string& service,
     time_point now)
 {
-    crash_record told;
-    told.digest = digest;
-    told.service = service;
-    told.ends = {end};
-    merge(told, now);
+    crash_record reported;
+    reported.digest = digest;
+    reported.service = service;
+    reported.ends = {end};
+    merge(reported, now);
 }
 
 bool crash_evidence::add_completion(std::uint64_t digest, time_point now)
 {
-    if (completions_.size() >= options_.most_completions &&
+    if (completions_.size() >= options_.max_completions &&
         !completions_.contains(digest))
     {
         completions_.erase(std::ranges::min_element(
@@ -199,16 +202,16 @@
     {
         return false;
     }
-    note_change(found->second, now);
+    mark_changed(found->second, now);
     return true;
 }
 
-bool crash_evidence::has_completed_lately(
+bool crash_evidence::completed_recently(
     std::uint64_t digest, time_point now) const
 {
     const auto found = completions_.find(digest);
     return found != completions_.end() &&
-           now - found->second < options_.completion_memory;
+           now - found->second < options_.completion_retention;
 }
 
 bool crash_evidence::release(std::uint64_t digest, time_point now)
@@ -219,33 +222,33 @@
         return false;
     }
     clear(found->second.record, now);
-    note_change(found->second, now);
+    mark_changed(found->second, now);
     return true;
 }
 
-crash_judgement
-crash_evidence::judge(std::uint64_t digest, time_point now) const
+crash_assessment
+crash_evidence::assess(std::uint64_t digest, time_point now) const
 {
     const auto found = records_.find(digest);
-    return found == records_.end() ? crash_judgement()
-                                   : judge(found->second.record, now);
+    return found == records_.end() ? crash_assessment()
+                                   : assess(found->second.record, now);
 }
 
-crash_judgement
-crash_evidence::judge(const crash_record& record, time_point now) const
+crash_assessment
+crash_evidence::assess(const crash_record& record, time_point now) const
 {
-    crash_judgement found;
+    crash_assessment found;
     found.ends = record.ends.size();
     if (record.ends.empty() ||
-        now - record.ends.back().ended_at >= 2 * options_.quarantine)
+        now - record.ends.back().crashed_at >= 2 * options_.quarantine)
     {
         return {};
     }
     found.suspicion = crash_suspicion::suspected;
     const bool is_recent =
-        now - record.ends.back().ended_at < options_.quarantine;
-    if (is_recent && record.ends.size() >= ends_to_quarantine &&
-        came_again(record.ends))
+        now - record.ends.back().crashed_at < options_.quarantine;
+    if (is_recent && record.ends.size() >= crashes_to_quarantine &&
+        recurred_after_crash(record.ends))
     {
         found.suspicion = crash_suspicion::quarantined;
     }
@@ -261,45 +264,46 @@
 
 bool crash_evidence::merge(const crash_record& record, time_point now)
 {
-    if (is_old(record, now))
+    if (is_expired(record, now))
     {
         return false;
     }
-    auto& mine = find_or_add(record.digest, record.service, now);
-    if (is_old(mine.record, now))
+    auto& known = find_or_add(record.digest, record.service, now);
+    if (is_expired(known.record, now))
     {
-        mine.record.ends.clear();
+        known.record.ends.clear();
     }
     bool changed = false;
-    if (is_later_clearing(mine.record, record.cleared_at))
+    if (is_newer_clearing(known.record, record.cleared_at))
     {
-        changed = clear(mine.record, record.cleared_at);
+        changed = clear(known.record, record.cleared_at);
     }
     for (const auto& each : record.ends)
     {
-        if (!is_cleared(mine.record, each))
+        if (!is_cleared(known.record, each))
         {
-            changed = insert(mine.record.ends, each) || changed;
+            changed = insert(known.record.ends, each) || changed;
         }
     }
-    changed = clear_by_completion(mine.record) || changed;
+    changed = clear_by_completion(known.record) || changed;
     if (changed)
     {
-        note_change(mine, now);
+        mark_changed(known, now);
     }
-    else if (mine.changed == 0)
+    else if (known.changed_stamp == 0)
     {
         records_.erase(record.digest);
     }
     return changed;
 }
 
-bool crash_evidence::is_old(const crash_record& record, time_point now) const
+bool crash_evidence::is_expired(
+    const crash_record& record, time_point now) const
 {
     time_point last = record.cleared_at;
     for (const auto& each : record.ends)
     {
-        last = std::max(last, each.ended_at);
+        last = std::max(last, each.crashed_at);
     }
     const bool is_empty =
         record.ends.empty() && record.cleared_at == time_point();
@@ -313,8 +317,8 @@
     {
         return false;
     }
-    const auto until = found->second + time_slack;
-    return !record.ends.empty() && record.ends.front().ended_at <= until &&
+    const auto until = found->second + clearing_tolerance;
+    return !record.ends.empty() && record.ends.front().crashed_at <= until &&
            clear(record, found->second);
 }
 
@@ -324,7 +328,7 @@
     std::vector<crash_record> changes;
     for (const auto& [digest, each] : records_)
     {
-        if (each.changed > stamp)
+        if (each.changed_stamp > stamp)
         {
             changes.push_back(each.record);
         }
@@ -337,8 +341,8 @@
     std::vector<crash_record> found;
     for (const auto& [digest, each] : records_)
     {
-        const auto judged = judge(each.record, now);
-        if (judged.suspicion == crash_suspicion::quarantined)
+        const auto assessment = assess(each.record, now);
+        if (assessment.suspicion == crash_suspicion::quarantined)
         {
             found.push_back(each.record);
         }
@@ -352,65 +356,67 @@
         records_,
         [this, now](const auto& item)
         {
-            return is_old(item.second.record, now);
+            return is_expired(item.second.record, now);
         });
     std::erase_if(
         completions_,
         [this, now](const auto& item)
         {
-            return now - item.second >= options_.completion_memory;
+            return now - item.second >= options_.completion_retention;
         });
 }
 
-work_in_progress::ticket
-work_in_progress::begin(std::uint64_t digest, time_point now)
+in_flight_requests::ticket
+in_flight_requests::begin(std::uint64_t digest, time_point now)
 {
-    runs_[++last_] = {{digest, now}};
-    return last_;
+    runs_[++last_ticket_] = {{digest, now}};
+    return last_ticket_;
 }
 
-void work_in_progress::end(ticket of)
+void in_flight_requests::end(ticket target)
 {
-    runs_.erase(of);
+    runs_.erase(target);
 }
 
-void work_in_progress::lose(ticket of, time_point now)
+void in_flight_requests::mark_lost(ticket target, time_point now)
 {
-    forget_old(now);
-    const auto found = runs_.find(of);
+    drop_expired(now);
+    const auto found = runs_.find(target);
     if (found != runs_.end() && found->second.lost_at == time_point::max())
     {
         found->second.lost_at = now;
     }
 }
 
-void work_in_progress::forget_old(time_point now)
+void in_flight_requests::drop_expired(time_point now)
 {
     std::erase_if(
         runs_,
         [now](const auto& item)
         {
             const auto lost_at = item.second.lost_at;
-            return lost_at != time_point::max() && now - lost_at >= together;
+            return lost_at != time_point::max() &&
+                   now - lost_at >= crash_detection_window;
         });
 }
 
-std::vector<work_in_progress::lost_work>
-work_in_progress::take_all(time_point now)
+std::vector<in_flight_requests::interrupted_request>
+in_flight_requests::take_all(time_point now)
 {
-    forget_old(now);
-    std::vector<lost_work> all;
-    for (const auto& [of, each] : runs_)
+    drop_expired(now);
+    std::vector<interrupted_request> all;
+    for (const auto& [target, each] : runs_)
     {
-        const auto same =
-            std::ranges::find(all, each.work.digest, &lost_work::digest);
+        const auto same = std::ranges::find(
+            all, each.request.digest, &interrupted_request::digest);
         if (same == all.end())
         {
-            all.push_back(each.work);
+            all.push_back(each.request);
         }
         else
         {
-            same->begun_at = std::max(same->begun_at, each.work.begun_at);
+            same->started_at =
+                std::max(same->started_at, each.request.started_at);
         }
     }
     runs_.clear();
--- a/nutmegusher/policy/crash_evidence.hpp
+++ b/nutmegusher/policy/crash_evidence.hpp
@@ -3,7 +3,7 @@
 // The daemon beside an upstream sees that it has ended, and which requests were
 // at work there; each of them is suspected. A request that completes anywhere
 // is cleared: one that ends every upstream never completes. One that was at
-// work at `ends_to_quarantine` ends of as many upstreams without completing
+// work at `crashes_to_quarantine` ends of as many upstreams without completing
 // since is quarantined, if it came again after one of them: upstreams that end
 // together, as with a rack, have the popular requests of that moment in common.
 //
@@ -13,9 +13,9 @@
 // that holds it.
 //
 //     crash_evidence evidence;
-//     evidence.add_end(digest, {upstream, begun_at, now}, service, now);
-//     const auto judged = evidence.judge(digest, now);
-//     if (judged.suspicion == crash_suspicion::quarantined)
+//     evidence.add_crash(digest, {upstream, started_at, now}, service, now);
+//     const auto assessment = evidence.assess(digest, now);
+//     if (assessment.suspicion == crash_suspicion::quarantined)
 //         ... // refuse: it has not run
 //
 // For one thread; reads no clock.
@@ -36,7 +36,7 @@
 {
 
 // Ends of as many upstreams quarantine a request that was at work at each.
-inline constexpr std::size_t ends_to_quarantine = 3;
+inline constexpr std::size_t crashes_to_quarantine = 3;
 
 enum class crash_suspicion : std::uint8_t
 {
@@ -48,15 +48,16 @@
 };
 
 // An upstream's end, with one of the requests that were at work there.
-struct crash_end
+struct upstream_crash
 {
     // Names the upstream and its start; the same wherever it is told.
     std::uint64_t upstream = 0;
     // When the request began to run there, and when the upstream ended.
-    time_point begun_at;
-    time_point ended_at;
+    time_point started_at;
+    time_point crashed_at;
 
-    friend bool operator==(const crash_end&, const crash_end&) = default;
+    friend bool
+    operator==(const upstream_crash&, const upstream_crash&) = default;
 };
 
 // What is known of one request.
@@ -66,13 +67,13 @@
     std::string service;
     // By the time of the end; six at most: the latest, and those that show that
     // it came again.
-    std::vector<crash_end> ends;
+    std::vector<upstream_crash> ends;
     // It completed, or was released, at that time; earlier ends count no more.
     // `time_point()`: never.
     time_point cleared_at;
 };
 
-struct crash_judgement
+struct crash_assessment
 {
     crash_suspicion suspicion = crash_suspicion::none;
     // Ends that count.
@@ -85,12 +86,12 @@
     // it, for as long again.
     duration quarantine = std::chrono::minutes(10);
     // A request that completed on this host so lately isn't suspected there.
-    duration completion_memory = std::chrono::seconds(10);
+    duration completion_retention = std::chrono::seconds(10);
     // Records of requests; the one that changed longest ago gives way, those
     // with several ends later, those in quarantine last. At least one.
-    std::size_t most_records = 512;
+    std::size_t max_records = 512;
     // Completions that are remembered. At least one.
-    std::size_t most_completions = 512;
+    std::size_t max_completions = 512;
 };
 
 class crash_evidence
@@ -99,9 +100,9 @@
     explicit crash_evidence(crash_evidence_options options = {});
 
     // An upstream of `service` has ended with the request at work.
-    void add_end(
+    void add_crash(
         std::uint64_t digest,
-        const crash_end& end,
+        const upstream_crash& end,
         const std::string& service,
         time_point now);
 
@@ -113,13 +114,13 @@
     // It completed here a moment ago, so that an upstream that ends now doesn't
     // do so because of it.
     [[nodiscard]] bool
-    has_completed_lately(std::uint64_t digest, time_point now) const;
+    completed_recently(std::uint64_t digest, time_point now) const;
 
     // An operator says that it may run. False: nothing is known of it.
     bool release(std::uint64_t digest, time_point now);
 
-    [[nodiscard]] crash_judgement
-    judge(std::uint64_t digest, time_point now) const;
+    [[nodiscard]] crash_assessment
+    assess(std::uint64_t digest, time_point now) const;
 
     [[nodiscard]] std::optional<crash_record> find(std::uint64_t digest) const;
 
@@ -153,20 +154,21 @@
     struct entry
     {
         crash_record record;
-        std::uint64_t changed = 0;
+        std::uint64_t changed_stamp = 0;
         time_point changed_at;
     };
 
     entry& find_or_add(
         std::uint64_t digest, const std::string& service, time_point now);
-    void make_room(time_point now);
-    void note_change(entry& of, time_point now);
+    void evict_if_full(time_point now);
+    void mark_changed(entry& target, time_point now);
     // Nothing of it counts any more.
-    [[nodiscard]] bool is_old(const crash_record& record, time_point now) const;
+    [[nodiscard]] bool
+    is_expired(const crash_record& record, time_point now) const;
     // True: it completed here after an end that was told later.
     bool clear_by_completion(crash_record& record);
-    [[nodiscard]] crash_judgement
-    judge(const crash_record& record, time_point now) const;
+    [[nodiscard]] crash_assessment
+    assess(const crash_record& record, time_point now) const;
 
     crash_evidence_options options_;
     std::unordered_map<std::uint64_t, entry> records_;
@@ -176,7 +178,7 @@
 
 // Called at the ends of requests and upstreams on one host: which requests are
 // at work at its upstream.
-class work_in_progress
+class in_flight_requests
 {
 public:
     using ticket = std::uint64_t;
@@ -184,36 +186,38 @@
     [[nodiscard]] ticket begin(std::uint64_t digest, time_point now);
 
     // It has its answer, was given up on, or never reached the upstream.
-    void end(ticket of);
+    void end(ticket target);
 
-    // Its connection ended without an answer. Kept for `together`, within which
-    // all connections of an upstream that ends are seen to break.
-    void lose(ticket of, time_point now);
+    // Its connection ended without an answer. Kept for
+    // `crash_detection_window`, within which all connections of an upstream
+    // that ends are seen to break.
+    void mark_lost(ticket target, time_point now);
 
-    struct lost_work
+    struct interrupted_request
     {
         std::uint64_t digest = 0;
-        time_point begun_at;
+        time_point started_at;
     };
 
     // The upstream has ended: what was at work there, each digest once with its
     // latest run. Nothing is at work any more.
-    [[nodiscard]] std::vector<lost_work> take_all(time_point now);
+    [[nodiscard]] std::vector<interrupted_request> take_all(time_point now);
 
-    static constexpr duration together = std::chrono::milliseconds(500);
+    static constexpr duration crash_detection_window =
+        std::chrono::milliseconds(500);
 
 private:
     struct run
     {
-        lost_work work;
+        interrupted_request request;
         // `time_point::max()`: at work.
         time_point lost_at = time_point::max();
     };
 
-    void forget_old(time_point now);
+    void drop_expired(time_point now);
 
     std::unordered_map<ticket, run> runs_;
-    ticket last_ = 0;
+    ticket last_ticket_ = 0;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/crash_evidence_replay_test.cpp
+++ b/nutmegusher/policy/crash_evidence_replay_test.cpp
@@ -25,86 +25,87 @@
 constexpr std::size_t slots = 44;
 constexpr std::size_t popular_digests = 5;
 // Beside the popular ones, on a busy upstream.
-constexpr std::size_t rare_at_work = slots - popular_digests;
-constexpr std::uint64_t deadly = 1000;
+constexpr std::size_t rare_in_flight = slots - popular_digests;
+constexpr std::uint64_t crashing_digest = 1000;
 constexpr std::uint64_t first_rare = 10000;
-constexpr duration deadly_run = 70ms;
-constexpr duration popular_run = 50ms;
-constexpr duration popular_gap = 50ms;
-constexpr duration restart = 3s;
-constexpr duration shortest_delay = 100ms;
-constexpr duration longest_delay = 200ms;
-constexpr duration breaking_time = 5ms;
+constexpr duration crashing_run_time = 70ms;
+constexpr duration popular_run_time = 50ms;
+constexpr duration popular_pause = 50ms;
+constexpr duration restart_time = 3s;
+constexpr duration min_delay = 100ms;
+constexpr duration max_delay = 200ms;
+constexpr duration crash_detection_delay = 5ms;
 // Popular requests run before anything ends.
-constexpr duration quiet_time = 500ms;
+constexpr duration warm_up_time = 500ms;
 const time_point start = time_point() + 1h;
 
-struct scene
+struct scenario
 {
     std::uint64_t seed = 1;
     std::size_t hosts = 15;
     duration length = 6s;
     // Between two sends of the deadly request; 0: there is none.
-    duration send_gap = 0ms;
+    duration send_interval = 0ms;
     // Means; 0: never.
-    duration own_end_gap = 0s;
-    duration rack_gap = 0s;
-    std::size_t rack = 4;
+    duration mean_own_crash_interval = 0s;
+    duration mean_rack_crash_interval = 0s;
+    std::size_t rack_size = 4;
 };
 
-struct outcome_of_scene
+struct scenario_result
 {
-    std::vector<time_point> deadly_ends;
-    std::vector<time_point> deadly_begins;
-    std::set<std::uint64_t> rare_at_an_end;
+    std::vector<time_point> crash_times;
+    std::vector<time_point> crashing_run_starts;
+    std::set<std::uint64_t> rare_in_flight_at_crash;
     std::set<std::uint64_t> rare_quarantined;
     std::size_t ends = 0;
     std::size_t popular_quarantines = 0;
     std::size_t popular_quarantines_too_long = 0;
-    std::size_t popular_told = 0;
+    std::size_t popular_suspected = 0;
 };
 
-class fleet
+class fleet_simulation
 {
 public:
-    explicit fleet(const scene& of)
-        : scene_(of)
-        , chance_(of.seed)
-        , hosts_(of.hosts)
+    explicit fleet_simulation(const scenario& options)
+        : scenario_(options)
+        , engine_(options.seed)
+        , hosts_(options.hosts)
     {
     }
 
-    outcome_of_scene play()
+    scenario_result simulate()
     {
         for (std::size_t host = 0; host < hosts_.size(); ++host)
         {
             start_upstream(host);
-            if (scene_.own_end_gap > 0s)
+            if (scenario_.mean_own_crash_interval > 0s)
             {
-                plan_own_end(host);
+                schedule_own_crash(host);
             }
-            expire_now_and_then(host);
+            expire_periodically(host);
         }
-        if (scene_.send_gap > 0ms)
+        if (scenario_.send_interval > 0ms)
         {
-            at(quiet_time,
+            at(warm_up_time,
                [this]
                {
-                   send_deadly();
+                   send_crashing_request();
                });
         }
-        if (scene_.rack_gap > 0s)
+        if (scenario_.mean_rack_crash_interval > 0s)
         {
-            plan_rack();
+            schedule_rack_crash();
         }
-        while (!events_.empty() && events_.top().when < start + scene_.length)
+        while (!events_.empty() &&
+               events_.top().when < start + scenario_.length)
         {
             const auto next = events_.top();
             events_.pop();
             now_ = next.when;
             next.act();
         }
-        return seen_;
+        return result_;
     }
 
 private:
@@ -125,22 +126,22 @@
     {
         std::uint64_t digest = 0;
         std::size_t entry = 0;
-        work_in_progress::ticket ticket = 0;
-        bool may_try_again = false;
-        bool is_single = false;
+        in_flight_requests::ticket ticket = 0;
+        bool may_retry = false;
+        bool is_isolated = false;
         int sends_left = 0;
     };
 
     struct host
     {
         crash_evidence evidence;
-        work_in_progress work;
+        in_flight_requests work;
         bool is_up = false;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         std::unordered_map<std::uint64_t, run> runs;
         // Digests with two or more ends that were let in alone.
-        std::set<std::uint64_t> single;
-        std::uint64_t told_stamp = 0;
+        std::set<std::uint64_t> isolated;
+        std::uint64_t sent_stamp = 0;
     };
 
     void at(duration after, std::function<void()> act)
@@ -148,32 +149,32 @@
         events_.push({now_ + after, ++last_order_, std::move(act)});
     }
 
-    duration between(duration least, duration most)
+    duration random_between(duration least, duration most)
     {
         const auto span =
             std::chrono::duration_cast<std::chrono::microseconds>(most - least);
         return least + std::chrono::microseconds(uniform_below(
-                           chance_, static_cast<std::uint64_t>(span.count())));
+                           engine_, static_cast<std::uint64_t>(span.count())));
     }
 
-    duration about(duration mean)
+    duration random_exponential(duration mean)
     {
-        const double factor = -std::log(1.0 - uniform_unit(chance_));
+        const double factor = -std::log(1.0 - uniform_unit(engine_));
         return std::chrono::duration_cast<duration>(mean * factor);
     }
 
-    std::size_t any_host()
+    std::size_t random_host()
     {
-        return uniform_below(chance_, hosts_.size());
+        return uniform_below(engine_, hosts_.size());
     }
 
     // `hosts_.size()`: none.
-    std::size_t any_up(std::size_t but)
+    std::size_t random_running_host(std::size_t excluded)
     {
         for (int tries = 0; tries < 100; ++tries)
         {
-            const auto found = any_host();
-            if (hosts_[found].is_up && found != but)
+            const auto found = random_host();
+            if (hosts_[found].is_up && found != excluded)
             {
                 return found;
             }
@@ -184,108 +185,112 @@
     void start_upstream(std::size_t index)
     {
         hosts_[index].is_up = true;
-        const auto life = ++hosts_[index].life;
+        const auto incarnation = ++hosts_[index].incarnation;
         for (std::uint64_t digest = 1; digest <= popular_digests; ++digest)
         {
-            at(between(0ms, popular_run + popular_gap),
-               [this, index, life, digest]
+            at(random_between(0ms, popular_run_time + popular_pause),
+               [this, index, incarnation, digest]
                {
-                   run_popular(index, life, digest);
+                   run_popular(index, incarnation, digest);
                });
         }
-        for (std::size_t count = 0; count < rare_at_work; ++count)
+        for (std::size_t count = 0; count < rare_in_flight; ++count)
         {
-            send_rare_for_ever(index, life);
+            run_rare_requests(index, incarnation);
         }
     }
 
     // Enters at the daemon beside.
-    void
-    run_popular(std::size_t index, std::uint64_t life, std::uint64_t digest)
+    void run_popular(
+        std::size_t index, std::uint64_t incarnation, std::uint64_t digest)
     {
         auto& here = hosts_[index];
-        if (!here.is_up || here.life != life)
+        if (!here.is_up || here.incarnation != incarnation)
         {
             return;
         }
-        const auto judged = here.evidence.judge(digest, now_);
-        if (judged.suspicion != crash_suspicion::quarantined)
+        const auto assessment = here.evidence.assess(digest, now_);
+        if (assessment.suspicion != crash_suspicion::quarantined)
         {
             run one;
             one.digest = digest;
             one.entry = index;
-            begin(index, one, popular_run);
+            begin(index, one, popular_run_time);
         }
-        at(popular_run + popular_gap,
-           [this, index, life, digest]
+        at(popular_run_time + popular_pause,
+           [this, index, incarnation, digest]
            {
-               run_popular(index, life, digest);
+               run_popular(index, incarnation, digest);
            });
     }
 
     // One request after the other, each of its own content.
-    void send_rare_for_ever(std::size_t index, std::uint64_t life)
+    void run_rare_requests(std::size_t index, std::uint64_t incarnation)
     {
-        if (!hosts_[index].is_up || hosts_[index].life != life)
+        if (!hosts_[index].is_up || hosts_[index].incarnation != incarnation)
         {
             return;
         }
         run one;
         one.digest = first_rare + ++last_rare_;
-        one.entry = any_host();
-        one.may_try_again = true;
+        one.entry = random_host();
+        one.may_retry = true;
         one.sends_left = 3;
-        const auto length = between(100ms, 1900ms);
+        const auto length = random_between(100ms, 1900ms);
         begin(index, one, length);
         at(length,
-           [this, index, life]
+           [this, index, incarnation]
            {
-               send_rare_for_ever(index, life);
+               run_rare_requests(index, incarnation);
            });
     }
 
-    void send_deadly()
+    void send_crashing_request()
     {
         run one;
-        one.digest = deadly;
-        one.entry = any_host();
+        one.digest = crashing_digest;
+        one.entry = random_host();
         enter(one, hosts_.size());
-        at(scene_.send_gap,
+        at(scenario_.send_interval,
            [this]
            {
-               send_deadly();
+               send_crashing_request();
            });
     }
 
     // The entry rule.
-    void enter(run one, std::size_t but)
+    void enter(run one, std::size_t excluded)
     {
         auto& entry = hosts_[one.entry];
-        const auto judged = entry.evidence.judge(one.digest, now_);
-        const auto target = any_up(but);
-        const bool is_second_try = but != hosts_.size();
-        one.may_try_again = !is_second_try;
-        one.is_single = judged.ends >= 2;
-        if (judged.suspicion == crash_suspicion::quarantined ||
-            target == hosts_.size() || (one.is_single && is_second_try) ||
-            (one.is_single && !entry.single.insert(one.digest).second))
+        const auto assessment = entry.evidence.assess(one.digest, now_);
+        const auto target = random_running_host(excluded);
+        const bool is_retry = excluded != hosts_.size();
+        one.may_retry = !is_retry;
+        one.is_isolated = assessment.ends >= 2;
+        if (assessment.suspicion == crash_suspicion::quarantined ||
+            target == hosts_.size() || (one.is_isolated && is_retry) ||
+            (one.is_isolated && !entry.isolated.insert(one.digest).second))
         {
-            send_again(one);
+            send_later(one);
             return;
         }
-        const bool ends_it = one.digest == deadly;
-        begin(target, one, ends_it ? deadly_run : between(100ms, 1900ms));
+        const bool crashes_upstream = one.digest == crashing_digest;
+        begin(
+            target,
+            one,
+            crashes_upstream ? crashing_run_time
+                             : random_between(100ms, 1900ms));
     }
 
     // The client of a rare request doesn't give up at once.
-    void send_again(run one)
+    void send_later(run one)
     {
         if (one.digest < first_rare || one.sends_left == 0)
         {
             return;
         }
         --one.sends_left;
-        one.entry = any_host();
+        one.entry = random_host();
         at(1s,
            [this, one]
            {
@@ -299,22 +304,22 @@
         one.ticket = target.work.begin(one.digest, now_);
         const auto id = ++last_run_;
         target.runs.emplace(id, one);
-        const bool ends_it = one.digest == deadly;
-        if (ends_it)
+        const bool crashes_upstream = one.digest == crashing_digest;
+        if (crashes_upstream)
         {
-            seen_.deadly_begins.push_back(now_);
+            result_.crashing_run_starts.push_back(now_);
         }
         at(length,
-           [this, index, id, ends_it]
+           [this, index, id, crashes_upstream]
            {
                if (!hosts_[index].runs.contains(id))
                {
                    return;
                }
-               if (ends_it)
+               if (crashes_upstream)
                {
-                   seen_.deadly_ends.push_back(now_);
-                   end_upstream(index);
+                   result_.crash_times.push_back(now_);
+                   crash_upstream(index);
                    return;
                }
                complete(index, id);
@@ -327,89 +332,89 @@
         const auto one = here.runs.at(id);
         here.runs.erase(id);
         here.work.end(one.ticket);
-        leave(one);
+        release_isolation(one);
         if (here.evidence.add_completion(one.digest, now_))
         {
-            tell(index);
+            broadcast(index);
         }
     }
 
-    void leave(const run& one)
+    void release_isolation(const run& one)
     {
-        if (one.is_single)
+        if (one.is_isolated)
         {
-            hosts_[one.entry].single.erase(one.digest);
+            hosts_[one.entry].isolated.erase(one.digest);
         }
     }
 
-    void end_upstream(std::size_t index)
+    void crash_upstream(std::size_t index)
     {
         auto& here = hosts_[index];
         if (!here.is_up)
         {
             return;
         }
-        ++seen_.ends;
+        ++result_.ends;
         here.is_up = false;
-        const crash_end end{
-            (std::uint64_t{index} << 32U) + here.life, now_, now_};
+        const upstream_crash end{
+            (std::uint64_t{index} << 32U) + here.incarnation, now_, now_};
         const auto lost = std::exchange(here.runs, {});
         for (const auto& [id, one] : lost)
         {
-            here.work.lose(one.ticket, now_);
-            leave(one);
-            if (one.may_try_again)
+            here.work.mark_lost(one.ticket, now_);
+            release_isolation(one);
+            if (one.may_retry)
             {
                 enter(one, index);
             }
             else
             {
-                send_again(one);
+                send_later(one);
             }
         }
-        at(breaking_time,
+        at(crash_detection_delay,
            [this, index, end]
            {
-               blame(index, end);
+               report_crash(index, end);
            });
-        at(restart,
+        at(restart_time,
            [this, index]
            {
                start_upstream(index);
            });
     }
 
-    void blame(std::size_t index, crash_end end)
+    void report_crash(std::size_t index, upstream_crash end)
     {
         auto& here = hosts_[index];
         for (const auto& work : here.work.take_all(now_))
         {
             if (work.digest >= first_rare)
             {
-                seen_.rare_at_an_end.insert(work.digest);
+                result_.rare_in_flight_at_crash.insert(work.digest);
             }
-            if (here.evidence.has_completed_lately(work.digest, now_))
+            if (here.evidence.completed_recently(work.digest, now_))
             {
                 continue;
             }
-            seen_.popular_told += work.digest <= popular_digests ? 1 : 0;
-            end.begun_at = work.begun_at;
-            here.evidence.add_end(work.digest, end, "s", now_);
-            look(index, work.digest);
+            result_.popular_suspected += work.digest <= popular_digests ? 1 : 0;
+            end.started_at = work.started_at;
+            here.evidence.add_crash(work.digest, end, "s", now_);
+            check_quarantine(index, work.digest);
         }
-        tell(index);
+        broadcast(index);
     }
 
-    void tell(std::size_t from)
+    void broadcast(std::size_t from)
     {
         auto& here = hosts_[from];
-        const auto changes = here.evidence.changes_since(here.told_stamp);
-        here.told_stamp = here.evidence.stamp();
-        tell(from, changes);
+        const auto changes = here.evidence.changes_since(here.sent_stamp);
+        here.sent_stamp = here.evidence.stamp();
+        broadcast(from, changes);
     }
 
     // Times arrive off by less than the least delay.
-    void tell(std::size_t from, const std::vector<crash_record>& changes)
+    void broadcast(std::size_t from, const std::vector<crash_record>& changes)
     {
         if (changes.empty())
         {
@@ -421,21 +426,21 @@
             {
                 continue;
             }
-            const auto off = between(0ms, 100ms);
-            at(between(shortest_delay, longest_delay),
-               [this, to, changes, off]
+            const auto time_error = random_between(0ms, 100ms);
+            at(random_between(min_delay, max_delay),
+               [this, to, changes, time_error]
                {
-                   hear(to, changes, off);
+                   receive(to, changes, time_error);
                });
         }
     }
 
-    static crash_record shift(crash_record record, duration by)
+    static crash_record shift_times(crash_record record, duration by)
     {
         for (auto& each : record.ends)
         {
-            each.begun_at += by;
-            each.ended_at += by;
+            each.started_at += by;
+            each.crashed_at += by;
         }
         if (record.cleared_at != time_point())
         {
@@ -444,215 +449,225 @@
         return record;
     }
 
-    void
-    hear(std::size_t to, const std::vector<crash_record>& changes, duration off)
+    void receive(
+        std::size_t to,
+        const std::vector<crash_record>& changes,
+        duration time_error)
     {
         auto& here = hosts_[to];
         std::set<std::uint64_t> cleared_here;
         for (const auto& each : changes)
         {
             const bool is_end = each.cleared_at == time_point();
-            const bool is_new = here.evidence.merge(shift(each, off), now_);
+            const bool is_new =
+                here.evidence.merge(shift_times(each, time_error), now_);
             if (is_end && is_new &&
-                here.evidence.judge(each.digest, now_).ends == 0)
+                here.evidence.assess(each.digest, now_).ends == 0)
             {
                 cleared_here.insert(each.digest);
             }
-            look(to, each.digest);
+            check_quarantine(to, each.digest);
         }
         // Others are told the rest as well.
-        auto own = here.evidence.changes_since(here.told_stamp);
-        here.told_stamp = here.evidence.stamp();
+        auto own = here.evidence.changes_since(here.sent_stamp);
+        here.sent_stamp = here.evidence.stamp();
         std::erase_if(
             own,
             [&cleared_here](const crash_record& each)
             {
                 return !cleared_here.contains(each.digest);
             });
-        tell(to, own);
+        broadcast(to, own);
     }
 
     bool is_quarantined(std::size_t index, std::uint64_t digest)
     {
-        return hosts_[index].evidence.judge(digest, now_).suspicion ==
+        return hosts_[index].evidence.assess(digest, now_).suspicion ==
                crash_suspicion::quarantined;
     }
 
-    void look(std::size_t index, std::uint64_t digest)
+    void check_quarantine(std::size_t index, std::uint64_t digest)
     {
-        if (digest == deadly || !is_quarantined(index, digest))
+        if (digest == crashing_digest || !is_quarantined(index, digest))
         {
             return;
         }
         if (digest >= first_rare)
         {
-            seen_.rare_quarantined.insert(digest);
+            result_.rare_quarantined.insert(digest);
             return;
         }
-        ++seen_.popular_quarantines;
-        at(popular_gap + popular_run + longest_delay,
+        ++result_.popular_quarantines;
+        at(popular_pause + popular_run_time + max_delay,
            [this, index, digest]
            {
-               seen_.popular_quarantines_too_long +=
+               result_.popular_quarantines_too_long +=
                    is_quarantined(index, digest) ? 1 : 0;
            });
     }
 
-    void plan_own_end(std::size_t index)
+    void schedule_own_crash(std::size_t index)
     {
-        at(about(scene_.own_end_gap),
+        at(random_exponential(scenario_.mean_own_crash_interval),
            [this, index]
            {
-               end_upstream(index);
-               plan_own_end(index);
+               crash_upstream(index);
+               schedule_own_crash(index);
            });
     }
 
     // Hosts beside each other, within 50 ms.
-    void plan_rack()
+    void schedule_rack_crash()
     {
-        at(about(scene_.rack_gap),
+        at(random_exponential(scenario_.mean_rack_crash_interval),
            [this]
            {
-               const auto racks = hosts_.size() / scene_.rack;
-               const auto first = uniform_below(chance_, racks) * scene_.rack;
-               for (std::size_t index = 0; index < scene_.rack; ++index)
+               const auto racks = hosts_.size() / scenario_.rack_size;
+               const auto first =
+                   uniform_below(engine_, racks) * scenario_.rack_size;
+               for (std::size_t index = 0; index < scenario_.rack_size; ++index)
                {
-                   at(between(0ms, 50ms),
+                   at(random_between(0ms, 50ms),
                       [this, index, first]
                       {
-                          end_upstream(first + index);
+                          crash_upstream(first + index);
                       });
                }
-               plan_rack();
+               schedule_rack_crash();
            });
     }
 
-    void expire_now_and_then(std::size_t index)
+    void expire_periodically(std::size_t index)
     {
         hosts_[index].evidence.expire(now_);
         at(1s,
            [this, index]
            {
-               expire_now_and_then(index);
+               expire_periodically(index);
            });
     }
 
-    scene scene_;
-    random_engine chance_;
+    scenario scenario_;
+    random_engine engine_;
     std::vector<host> hosts_;
     std::priority_queue<event> events_;
     time_point now_ = start;
     std::uint64_t last_order_ = 0;
     std::uint64_t last_run_ = 0;
     std::uint64_t last_rare_ = 0;
-    outcome_of_scene seen_;
+    scenario_result result_;
 };
 
-class deadly_request
+class crashing_request
     : public testing::TestWithParam<std::tuple<std::size_t, int>>
 {
 };
 
-TEST_P(deadly_request, ends_few_upstreams)
+TEST_P(crashing_request, crashes_few_upstreams)
 {
     const auto [hosts, gap] = GetParam();
     // Each send that enters before the evidence is there has two tries.
     const std::size_t sends_within_delay =
-        longest_delay < std::chrono::milliseconds(gap) - 2 * deadly_run ? 0 : 1;
-    const std::size_t most_ends = ends_to_quarantine + 2 * sends_within_delay;
+        max_delay < std::chrono::milliseconds(gap) - 2 * crashing_run_time ? 0
+                                                                           : 1;
+    const std::size_t max_crashes =
+        crashes_to_quarantine + 2 * sends_within_delay;
     const std::uint64_t seeds = hosts < 1000 ? 5 : 1;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
-        scene of;
-        of.seed = seed;
-        of.hosts = hosts;
-        of.send_gap = std::chrono::milliseconds(gap);
-        const auto seen = fleet(of).play();
-        EXPECT_LE(seen.deadly_ends.size(), most_ends) << seed;
-        ASSERT_GE(seen.deadly_ends.size(), ends_to_quarantine) << seed;
-        const auto quiet_from = seen.deadly_ends[2] + 3s;
-        ASSERT_LT(quiet_from + 1s, start + of.length) << seed;
-        EXPECT_LT(seen.deadly_begins.back(), quiet_from) << seed;
-        EXPECT_TRUE(seen.rare_quarantined.empty()) << seed;
-        EXPECT_EQ(seen.popular_quarantines, 0U) << seed;
+        scenario options;
+        options.seed = seed;
+        options.hosts = hosts;
+        options.send_interval = std::chrono::milliseconds(gap);
+        const auto result = fleet_simulation(options).simulate();
+        EXPECT_LE(result.crash_times.size(), max_crashes) << seed;
+        ASSERT_GE(result.crash_times.size(), crashes_to_quarantine) << seed;
+        const auto quiet_from = result.crash_times[2] + 3s;
+        ASSERT_LT(quiet_from + 1s, start + options.length) << seed;
+        EXPECT_LT(result.crashing_run_starts.back(), quiet_from) << seed;
+        EXPECT_TRUE(result.rare_quarantined.empty()) << seed;
+        EXPECT_EQ(result.popular_quarantines, 0U) << seed;
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     crash_evidence_replay,
-    deadly_request,
+    crashing_request,
     testing::Combine(
         testing::Values(15, 195, 1000), testing::Values(300, 400, 1000)));
 
-void add_up(
-    outcome_of_scene& all,
-    const outcome_of_scene& one,
-    std::size_t& at_end,
-    std::size_t& blamed)
+void accumulate(
+    scenario_result& all,
+    const scenario_result& one,
+    std::size_t& in_flight_at_crash,
+    std::size_t& quarantined_count)
 {
     all.ends += one.ends;
-    all.popular_told += one.popular_told;
+    all.popular_suspected += one.popular_suspected;
     all.popular_quarantines += one.popular_quarantines;
     all.popular_quarantines_too_long += one.popular_quarantines_too_long;
-    at_end += one.rare_at_an_end.size();
-    blamed += one.rare_quarantined.size();
+    in_flight_at_crash += one.rare_in_flight_at_crash.size();
+    quarantined_count += one.rare_quarantined.size();
 }
 
 // No request is to blame.
-void play_innocents(scene of, bool bounds_rare)
+void simulate_unrelated_crashes(scenario options, bool check_rare)
 {
-    outcome_of_scene all;
-    std::size_t at_end = 0;
-    std::size_t blamed = 0;
-    for (of.seed = 1; of.seed <= 200; ++of.seed)
-    {
-        const auto seen = fleet(of).play();
-        EXPECT_EQ(seen.popular_quarantines_too_long, 0U) << of.seed;
-        add_up(all, seen, at_end, blamed);
+    scenario_result all;
+    std::size_t in_flight_at_crash = 0;
+    std::size_t quarantined_count = 0;
+    for (options.seed = 1; options.seed <= 200; ++options.seed)
+    {
+        const auto result = fleet_simulation(options).simulate();
+        EXPECT_EQ(result.popular_quarantines_too_long, 0U) << options.seed;
+        accumulate(all, result, in_flight_at_crash, quarantined_count);
     }
-    std::cout << "ends " << all.ends << ", rare at work " << at_end
-              << ", blamed " << blamed << ", popular told " << all.popular_told
-              << ", quarantined " << all.popular_quarantines << '\n';
-    EXPECT_GT(at_end, 1000U);
-    if (bounds_rare)
-    {
-        EXPECT_LT(blamed * 1000, at_end);
+    std::cout << "ends " << all.ends << ", rare at work " << in_flight_at_crash
+              << ", blamed " << quarantined_count << ", popular told "
+              << all.popular_suspected << ", quarantined "
+              << all.popular_quarantines << '\n';
+    EXPECT_GT(in_flight_at_crash, 1000U);
+    if (check_rare)
+    {
+        EXPECT_LT(quarantined_count * 1000, in_flight_at_crash);
     }
 }
 
 // Each upstream ends in 10 minutes, a rack in 30 s.
-TEST(crash_evidence_replay, ends_by_themselves_blame_few)
+TEST(crash_evidence_replay, unrelated_crashes_quarantine_few_requests)
 {
-    scene of;
-    of.hosts = 20;
-    of.length = 15s;
-    of.own_end_gap = 10min;
-    of.rack_gap = 30s;
-    play_innocents(of, true);
+    scenario options;
+    options.hosts = 20;
+    options.length = 15s;
+    options.mean_own_crash_interval = 10min;
+    options.mean_rack_crash_interval = 30s;
+    simulate_unrelated_crashes(options, true);
 }
 
 // Each upstream ends in 20 s, a rack in 4 s: more than a fleet bears.
-TEST(crash_evidence_replay, popular_requests_stay_free_whatever_ends)
+TEST(
+    crash_evidence_replay,
+    popular_requests_stay_unquarantined_at_any_crash_rate)
 {
-    scene of;
-    of.hosts = 20;
-    of.length = 8s;
-    of.own_end_gap = 20s;
-    of.rack_gap = 4s;
-    play_innocents(of, false);
+    scenario options;
+    options.hosts = 20;
+    options.length = 8s;
+    options.mean_own_crash_interval = 20s;
+    options.mean_rack_crash_interval = 4s;
+    simulate_unrelated_crashes(options, false);
 }
 
 // A quarter of the upstreams ends at once, again and again, from the first
 // moment on: popular requests haven't completed yet.
-TEST(crash_evidence_replay, popular_requests_stay_free_when_racks_end)
+TEST(
+    crash_evidence_replay, popular_requests_stay_unquarantined_when_racks_crash)
 {
-    scene of;
-    of.hosts = 20;
-    of.length = 2s;
-    of.rack = 5;
-    of.rack_gap = 200ms;
-    play_innocents(of, false);
+    scenario options;
+    options.hosts = 20;
+    options.length = 2s;
+    options.rack_size = 5;
+    options.mean_rack_crash_interval = 200ms;
+    simulate_unrelated_crashes(options, false);
 }
 
 } // namespace
--- a/nutmegusher/policy/entry_gate.hpp
+++ b/nutmegusher/policy/entry_gate.hpp
@@ -2,7 +2,7 @@
 //
 //     if (const auto refusal = gate.check(call, now)) answer(*refusal);
 //     ...
-//     gate.on_level(call, level_ahead(route, levels, call.bulk, now), now);
+//     gate.on_level(call, call_path_level(route, levels, call.bulk, now), now);
 //
 // Pattern of load: a deep service is saturated. Each request is let in, runs
 // through three healthy services and is refused at the fourth; the work of
@@ -23,7 +23,7 @@
 #include "nutmegusher/base/clock.hpp"
 #include "nutmegusher/policy/admission_level.hpp"
 #include "nutmegusher/policy/call.hpp"
-#include "nutmegusher/policy/return_time.hpp"
+#include "nutmegusher/policy/retry_after_schedule.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -78,7 +78,7 @@
         double passed_mean = 0;
         // Requests of customers that aren't heavy, an interval.
         double light_mean = 0;
-        return_schedule returns;
+        retry_after_schedule returns;
         // Intervals in a row without a refusal.
         std::uint32_t quiet = 0;
         // The levels of this interval still tell of what was cut already.
--- a/nutmegusher/policy/entry_gate_test.cpp
+++ b/nutmegusher/policy/entry_gate_test.cpp
@@ -102,10 +102,10 @@
     EXPECT_EQ(levels.deeper_for(1, clock.now()), admission_level{});
 }
 
-TEST(return_schedule, sends_later_callers_away_for_longer)
+TEST(retry_after_schedule, sends_later_callers_away_for_longer)
 {
     manual_clock clock;
-    return_schedule returns;
+    retry_after_schedule returns;
     duration last{0};
     for (int index = 0; index < 100; ++index)
     {
@@ -113,7 +113,7 @@
     }
     EXPECT_NEAR(std::chrono::duration<double>(last).count(), 1.0, 0.05);
     clock.advance(std::chrono::seconds(2));
-    EXPECT_EQ(returns.wait(clock.now()), shortest_return);
+    EXPECT_EQ(returns.wait(clock.now()), min_retry_after);
 }
 
 } // namespace
--- a/nutmegusher/policy/error_meter.cpp
+++ b/nutmegusher/policy/error_meter.cpp
@@ -39,7 +39,7 @@
 }
 
 // The part of all errors that no failed call explains.
-double error_meter::own_part(time_point now) const
+double error_meter::own_error_fraction(time_point now) const
 {
     auto all = all_;
     all.decay(now);
@@ -55,16 +55,16 @@
     const auto known = by_origin_.find(from);
     auto seen = known == by_origin_.end() ? counts() : known->second;
     seen.decay(now);
-    if (seen.answers < least_answers)
+    if (seen.answers < min_answers)
     {
         seen = all_;
         seen.decay(now);
     }
-    if (seen.answers < least_answers)
+    if (seen.answers < min_answers)
     {
         return 0;
     }
-    return own_part(now) * seen.errors / seen.answers;
+    return own_error_fraction(now) * seen.errors / seen.answers;
 }
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/error_meter.hpp
+++ b/nutmegusher/policy/error_meter.hpp
@@ -19,7 +19,7 @@
 //   These are taken out: a fault behind the service would otherwise look like
 //   one of all its upstreams.
 // - By the data centre of the callers: an upstream may fail some of them alone.
-// - A few answers prove nothing: see `least_answers`.
+// - A few answers prove nothing: see `min_answers`.
 #ifndef NUTMEGUSHER_POLICY_ERROR_METER_HPP
 #define NUTMEGUSHER_POLICY_ERROR_METER_HPP
 
@@ -46,7 +46,7 @@
 
     // Answers that must have been seen lately. Users' classes fail 4 in 1,000
     // calls by themselves; of five that happens to two once in 6,000 times.
-    static constexpr double least_answers = 5;
+    static constexpr double min_answers = 5;
 
     // Answers count half after this: an upstream that recovers is told of
     // within the seconds in which service has to be back.
@@ -64,7 +64,7 @@
         void decay(time_point now);
     };
 
-    [[nodiscard]] double own_part(time_point now) const;
+    [[nodiscard]] double own_error_fraction(time_point now) const;
 
     counts all_;
     std::map<data_center_name, counts> by_origin_;
--- a/nutmegusher/policy/error_meter_test.cpp
+++ b/nutmegusher/policy/error_meter_test.cpp
@@ -16,7 +16,7 @@
 {
 protected:
     // One answer each 10 ms; `every`: one in so many is an error, 0: none.
-    void answers(const data_center_name& from, int count, int every)
+    void add_answers(const data_center_name& from, int count, int every)
     {
         for (int i = 0; i < count; ++i)
         {
@@ -29,15 +29,15 @@
     time_point now = time_point(std::chrono::hours(1));
 };
 
-TEST_F(error_meter_test, tells_the_share_of_errors)
+TEST_F(error_meter_test, returns_the_share_of_errors)
 {
-    answers(here, 100, 2);
+    add_answers(here, 100, 2);
     EXPECT_NEAR(meter.share(here, now), 0.5, 0.05);
 }
 
-TEST_F(error_meter_test, one_error_among_few_answers_says_nothing)
+TEST_F(error_meter_test, share_is_zero_for_too_few_answers)
 {
-    answers(here, 3, 3);
+    add_answers(here, 3, 3);
     EXPECT_EQ(meter.share(here, now), 0);
 }
 
@@ -45,34 +45,34 @@
 {
     for (int i = 0; i < 100; ++i)
     {
-        answers(here, 1, 0);
+        add_answers(here, 1, 0);
         meter.on_failed_call(now);
-        answers(here, 1, 1);
+        add_answers(here, 1, 1);
     }
     EXPECT_NEAR(meter.share(here, now), 0, 0.02);
 }
 
-TEST_F(error_meter_test, tells_callers_of_one_data_center_alone)
+TEST_F(error_meter_test, counts_errors_per_data_center)
 {
     for (int i = 0; i < 50; ++i)
     {
-        answers(here, 1, 1);
-        answers(there, 1, 0);
+        add_answers(here, 1, 1);
+        add_answers(there, 1, 0);
     }
     EXPECT_GT(meter.share(here, now), 0.9);
     EXPECT_LT(meter.share(there, now), 0.1);
 }
 
-TEST_F(error_meter_test, a_data_center_that_seldom_calls_hears_of_all_answers)
+TEST_F(error_meter_test, a_data_center_with_few_calls_gets_the_overall_share)
 {
-    answers(here, 100, 2);
+    add_answers(here, 100, 2);
     EXPECT_NEAR(meter.share(there, now), 0.5, 0.05);
 }
 
-TEST_F(error_meter_test, forgets_within_seconds)
+TEST_F(error_meter_test, past_errors_decay_within_seconds)
 {
-    answers(here, 100, 1);
-    answers(here, 400, 0);
+    add_answers(here, 100, 1);
+    add_answers(here, 400, 0);
     EXPECT_LT(meter.share(here, now), 0.1);
 }
 
--- a/nutmegusher/policy/policy.hpp
+++ b/nutmegusher/policy/policy.hpp
@@ -10,7 +10,7 @@
 //   calls it works on at once.
 // - `router`: one per called service, in the daemon that calls it.
 // - `entry_gate`: one per daemon, where members' and clerks' requests enter.
-// - `crash_evidence`, `work_in_progress`: one each per daemon; which requests
+// - `crash_evidence`, `in_flight_requests`: one each per daemon; which requests
 //   end the upstreams that run them.
 // - `retry_budget`, `decide_retry`, `split_tokens`: at each hop that calls.
 #ifndef NUTMEGUSHER_POLICY_POLICY_HPP
@@ -25,10 +25,10 @@
 #include "nutmegusher/policy/entry_gate.hpp"
 #include "nutmegusher/policy/error_meter.hpp"
 #include "nutmegusher/policy/opening.hpp"
+#include "nutmegusher/policy/retry_after_schedule.hpp"
 #include "nutmegusher/policy/retry_allowance.hpp"
 #include "nutmegusher/policy/retry_budget.hpp"
 #include "nutmegusher/policy/retry_policy.hpp"
-#include "nutmegusher/policy/return_time.hpp"
 #include "nutmegusher/policy/router.hpp"
 #include "nutmegusher/policy/shed_board.hpp"
 #include "nutmegusher/policy/shed_control.hpp"
--- a/nutmegusher/policy/error_memory.hpp
+++ b/nutmegusher/policy/reported_error_rate.hpp
@@ -4,8 +4,8 @@
 // with its answers alone; a caller that avoids it hears no more of it, and
 // after forgetting it sends it all it has at once. So the word is remembered
 // until it is due to be checked, and then a single call checks it.
-#ifndef NUTMEGUSHER_POLICY_ERROR_MEMORY_HPP
-#define NUTMEGUSHER_POLICY_ERROR_MEMORY_HPP
+#ifndef NUTMEGUSHER_POLICY_REPORTED_ERROR_RATE_HPP
+#define NUTMEGUSHER_POLICY_REPORTED_ERROR_RATE_HPP
 
 #include "nutmegusher/base/clock.hpp"
 
@@ -14,12 +14,12 @@
 namespace nutmegusher::internal
 {
 
-class error_memory
+class reported_error_rate
 {
 public:
     // Its word came: the share of its answers that are its own errors.
     // `sent`: calls sent to the whole service up to now.
-    void on_word(double errors, std::uint64_t sent, time_point now);
+    void on_report(double error_rate, std::uint64_t sent, time_point now);
 
     // A call was sent there; it checks the word.
     void on_start(std::uint64_t sent, time_point now);
@@ -34,20 +34,21 @@
     static constexpr double failed_call_seconds = 1.0;
 
     // A word is checked after so many calls of the service went elsewhere, but
-    // no sooner than `shortest`: of hundreds of calls a second one is lost.
-    static constexpr std::uint64_t calls_to_check = 50;
-    static constexpr duration shortest = std::chrono::seconds(1);
+    // no sooner than `min_check_interval`: of hundreds of calls a second one is
+    // lost.
+    static constexpr std::uint64_t calls_between_checks = 50;
+    static constexpr duration min_check_interval = std::chrono::seconds(1);
     // Callers with few calls learn of a recovery by then.
-    static constexpr duration longest = std::chrono::seconds(10);
+    static constexpr duration max_check_interval = std::chrono::seconds(10);
 
     // Below this a share is the calls' own: the users' classes fail 4 in 1,000
     // by themselves.
-    static constexpr double least_errors = 0.05;
+    static constexpr double min_error_rate = 0.05;
 
 private:
-    double errors_ = 0;
-    std::uint64_t told_at_call_ = 0;
-    time_point told_at_;
+    double error_rate_ = 0;
+    std::uint64_t reported_at_call_ = 0;
+    time_point reported_at_;
 };
 
 } // namespace nutmegusher::internal
--- /dev/null
+++ b/nutmegusher/policy/retry_after_schedule.cpp
@@ -0,0 +1,38 @@
+#include "nutmegusher/policy/retry_after_schedule.hpp"
+
+#include <algorithm>
+
+namespace nutmegusher
+{
+
+namespace
+{
+
+// Where nothing drains one place a second is given, so that the line stays
+// finite and somebody comes to look.
+constexpr double min_capacity_per_second = 1.0;
+
+} // namespace
+
+duration retry_after_schedule::next(double capacity_per_second, time_point now)
+{
+    const double capacity =
+        std::max(capacity_per_second, min_capacity_per_second);
+    const auto gap = std::chrono::duration_cast<duration>(
+        std::chrono::duration<double>(1.0 / capacity));
+    last_ = std::clamp(last_ + gap, now, now + max_retry_after);
+    return wait(now);
+}
+
+duration retry_after_schedule::wait(time_point now) const
+{
+    return std::clamp(last_ - now, min_retry_after, max_retry_after);
+}
+
+duration jittered(duration mean, random_engine& engine)
+{
+    const double factor = 0.5 + uniform_unit(engine);
+    return std::chrono::duration_cast<duration>(mean * factor);
+}
+
+} // namespace nutmegusher
--- a/nutmegusher/policy/retry_allowance.hpp
+++ b/nutmegusher/policy/retry_allowance.hpp
@@ -31,7 +31,7 @@
     static constexpr double ratio_of_sub_calls = 0.03;
 
     // What a quiet time saves up.
-    static constexpr double reserve = 2;
+    static constexpr double max_balance = 2;
 
     explicit retry_allowance(double ratio)
         : ratio_(ratio)
@@ -40,7 +40,7 @@
 
     void on_call()
     {
-        balance_ = std::min(balance_ + ratio_, reserve);
+        balance_ = std::min(balance_ + ratio_, max_balance);
     }
 
     // True: one repeat may be sent, and is counted.
--- a/nutmegusher/policy/retry_budget.cpp
+++ b/nutmegusher/policy/retry_budget.cpp
@@ -12,7 +12,7 @@
     {
         return 0;
     }
-    balance_ = std::min(balance_ + ratio, most_saved);
+    balance_ = std::min(balance_ + ratio, max_balance);
     return balance_ >= 1.0 ? tokens_per_request : 0;
 }
 
@@ -21,12 +21,12 @@
     balance_ -= static_cast<double>(given) - static_cast<double>(left);
 }
 
-bool repeated_keys::repeated(std::uint64_t key_hash, time_point now)
+bool repeated_key_detector::is_repeated(std::uint64_t key_hash, time_point now)
 {
-    if (now >= turn_at_ || recent_.size() >= most_keys)
+    if (now >= rotate_at_ || recent_.size() >= max_keys_per_generation)
     {
         older_ = std::exchange(recent_, {});
-        turn_at_ = now + memory;
+        rotate_at_ = now + retention;
     }
     const bool known = recent_.contains(key_hash) || older_.contains(key_hash);
     recent_.insert(key_hash);
--- a/nutmegusher/policy/retry_budget.hpp
+++ b/nutmegusher/policy/retry_budget.hpp
@@ -1,6 +1,6 @@
 // How many retries the requests of one class may make, at the entry.
 //
-//     const bool again = seen.repeated(key_hash, now);
+//     const bool again = seen.is_repeated(key_hash, now);
 //     const std::uint32_t tokens = budget.begin(again);
 //     ... the request takes the tokens with it, down the chain and back ...
 //     budget.end(tokens, left);
@@ -38,7 +38,7 @@
     static constexpr double ratio = 0.1;
     // What a quiet time may save up: a second's worth at the users' size in
     // two years (1.4 million calls a second over 16,000 daemons, a tenth).
-    static constexpr double most_saved = 9;
+    static constexpr double max_balance = 9;
 
     // A request enters. Returns its tokens.
     std::uint32_t begin(bool client_retry);
@@ -55,26 +55,27 @@
     }
 
 private:
-    double balance_ = most_saved;
+    double balance_ = max_balance;
 };
 
 // Recognises requests that come again with the same key.
-class repeated_keys
+class repeated_key_detector
 {
 public:
-    // Whether the key was seen within the last one to two `memory`; notes it.
-    bool repeated(std::uint64_t key_hash, time_point now);
+    // Whether the key was seen within the last one to two `retention`; notes
+    // it.
+    bool is_repeated(std::uint64_t key_hash, time_point now);
 
     // Clients that retry at all do so within seconds; the longest time to
     // come back that they are told is five, and half as long again.
-    static constexpr duration memory = std::chrono::seconds(15);
+    static constexpr duration retention = std::chrono::seconds(15);
     // Of each of the two generations.
-    static constexpr std::size_t most_keys = 65536;
+    static constexpr std::size_t max_keys_per_generation = 65536;
 
 private:
     std::unordered_set<std::uint64_t> recent_;
     std::unordered_set<std::uint64_t> older_;
-    time_point turn_at_;
+    time_point rotate_at_;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/retry_policy.cpp
+++ b/nutmegusher/policy/retry_policy.cpp
@@ -1,6 +1,6 @@
 #include "nutmegusher/policy/retry_policy.hpp"
 
-#include "nutmegusher/policy/return_time.hpp"
+#include "nutmegusher/policy/retry_after_schedule.hpp"
 
 #include <algorithm>
 
@@ -10,11 +10,11 @@
 namespace
 {
 
-constexpr std::uint32_t most_pause_doublings = 6;
+constexpr std::uint32_t max_pause_doublings = 6;
 
 // Two upstreams that refuse one after the other speak for the whole service,
 // whose levels may be a moment old.
-constexpr std::uint32_t most_refused_tries = 2;
+constexpr std::uint32_t max_refused_tries = 2;
 
 } // namespace
 
@@ -30,10 +30,10 @@
         return no_retry{no_retry_reason::no_time};
     }
     const bool service_full =
-        !failed.takes_elsewhere || failed.tries > most_refused_tries - 1;
-    const bool refused_here =
+        !failed.has_alternative || failed.tries > max_refused_tries - 1;
+    const bool is_overloaded =
         failed.how == try_failure::overload && service_full;
-    if (refused_here || failed.how == try_failure::overload_deeper)
+    if (is_overloaded || failed.how == try_failure::overload_deeper)
     {
         return no_retry{no_retry_reason::overloaded};
     }
@@ -41,13 +41,13 @@
     {
         return no_retry{no_retry_reason::no_tokens};
     }
-    if (failed.takes_elsewhere)
+    if (failed.has_alternative)
     {
         return retry_at_once{};
     }
     const std::uint32_t doublings =
-        std::min(std::max(failed.tries, 1U) - 1, most_pause_doublings);
-    const duration pause = spread(first_pause * (1U << doublings), engine);
+        std::min(std::max(failed.tries, 1U) - 1, max_pause_doublings);
+    const duration pause = jittered(first_pause * (1U << doublings), engine);
     if (failed.time_left - pause <= failed.expected_time)
     {
         return no_retry{no_retry_reason::no_time};
--- a/nutmegusher/policy/retry_policy.hpp
+++ b/nutmegusher/policy/retry_policy.hpp
@@ -50,8 +50,8 @@
     duration time_left{0};
     // What a run takes here, most likely; zero where unknown.
     duration expected_time{0};
-    // An upstream that wasn't tried would take it: `takes_elsewhere`.
-    bool takes_elsewhere = false;
+    // An upstream that wasn't tried would take it: `has_alternative`.
+    bool has_alternative = false;
     // Tries made at this hop, this one included.
     std::uint32_t tries = 1;
 };
--- a/nutmegusher/policy/retry_test.cpp
+++ b/nutmegusher/policy/retry_test.cpp
@@ -20,7 +20,7 @@
         failed.tokens = 2;
         failed.time_left = milliseconds(500);
         failed.expected_time = milliseconds(50);
-        failed.takes_elsewhere = true;
+        failed.has_alternative = true;
     }
 
     no_retry_reason reason()
@@ -52,7 +52,7 @@
     failed.tries = 2;
     EXPECT_EQ(reason(), no_retry_reason::overloaded);
     failed.tries = 1;
-    failed.takes_elsewhere = false;
+    failed.has_alternative = false;
     EXPECT_EQ(reason(), no_retry_reason::overloaded);
 }
 
@@ -81,22 +81,22 @@
     }
 }
 
-TEST(repeated_keys, knows_a_key_that_comes_again_and_forgets_it_later)
+TEST(repeated_key_detector, recognises_a_repeated_key_until_it_expires)
 {
     manual_clock clock;
-    repeated_keys keys;
-    EXPECT_FALSE(keys.repeated(1, clock.now()));
-    EXPECT_TRUE(keys.repeated(1, clock.now()));
-    clock.advance(repeated_keys::memory * 2);
-    keys.repeated(2, clock.now());
-    clock.advance(repeated_keys::memory);
-    EXPECT_FALSE(keys.repeated(1, clock.now()));
+    repeated_key_detector keys;
+    EXPECT_FALSE(keys.is_repeated(1, clock.now()));
+    EXPECT_TRUE(keys.is_repeated(1, clock.now()));
+    clock.advance(repeated_key_detector::retention * 2);
+    keys.is_repeated(2, clock.now());
+    clock.advance(repeated_key_detector::retention);
+    EXPECT_FALSE(keys.is_repeated(1, clock.now()));
 }
 
 // A chain of any depth where every call fails with some chance, each hop
 // with the shipped split and decision: what is spent stays within what was
 // minted, and retries of the class within the ratio and what was saved.
-RC_GTEST_PROP(retry_chain, spends_no_more_than_was_minted, ())
+RC_GTEST_PROP(retry_chain, spends_no_more_than_was_issued, ())
 {
     random_engine engine(*rc::gen::arbitrary<std::uint64_t>());
     const auto depth = *rc::gen::inRange(1, 11);
@@ -127,7 +127,7 @@
             failed.repeatable = true;
             failed.tokens = tokens;
             failed.time_left = milliseconds(500);
-            failed.takes_elsewhere = true;
+            failed.has_alternative = true;
             failed.tries = tries;
             const retry_decision verdict = decide_retry(failed, engine);
             if (ok || std::holds_alternative<no_retry>(verdict))
@@ -140,17 +140,17 @@
     };
     for (int request = 0; request < requests; ++request)
     {
-        const std::uint32_t minted = budget.begin(false);
-        RC_ASSERT(minted <= tokens_per_request);
+        const std::uint32_t issued = budget.begin(false);
+        RC_ASSERT(issued <= tokens_per_request);
         const std::uint64_t before = retries;
         bool ok = false;
-        const std::uint32_t left = call(call, depth, minted, ok);
-        RC_ASSERT(retries - before == minted - left);
-        budget.end(minted, left);
+        const std::uint32_t left = call(call, depth, issued, ok);
+        RC_ASSERT(retries - before == issued - left);
+        budget.end(issued, left);
     }
     RC_ASSERT(
         static_cast<double>(retries) <= requests * retry_budget::ratio +
-                                            retry_budget::most_saved +
+                                            retry_budget::max_balance +
                                             tokens_per_request);
 }
 
--- a/nutmegusher/policy/router.cpp
+++ b/nutmegusher/policy/router.cpp
@@ -21,27 +21,27 @@
 // callers less than a third of what another would; noise of its moving mean
 // stays within one and a half.
 constexpr double slow_factor = 3.0;
-constexpr double suspect_factor = 1.5;
-constexpr double mean_weight = 1.0 / 64;
+constexpr double median_check_factor = 1.5;
+constexpr double mean_latency_weight = 1.0 / 64;
 // Differences below this are the network and the scheduler of the host.
-constexpr double least_slow_seconds = 0.005;
+constexpr double min_slow_seconds = 0.005;
 
 // How long an upstream's own word that it leaves is remembered: membership says
 // so within about a second.
-constexpr duration leaving_memory = std::chrono::seconds(2);
+constexpr duration leaving_retention = std::chrono::seconds(2);
 // Exponential times exceed four times their mean once in fifty; with a budget
 // of a tenth for all retries that is little.
 constexpr double timeout_factor = 4.0;
-constexpr double least_timeout_seconds = 0.05;
+constexpr double min_timeout_seconds = 0.05;
 
 // An upstream that joins a running service gets a fifth of the usual work at
 // first and the whole after this, as its own warm-up needs about a second.
-constexpr duration ramp = std::chrono::seconds(1);
-constexpr double ramp_cost = 4.0;
+constexpr duration slow_start_duration = std::chrono::seconds(1);
+constexpr double slow_start_cost = 4.0;
 // An upstream's word on its load says nothing after this; a busy one gives it
 // hundreds of times a second.
 constexpr duration load_lifetime = std::chrono::seconds(1);
-constexpr double least_hold_seconds = 0.001;
+constexpr double min_slot_time_seconds = 0.001;
 // Waiting for a slot counts twice: the word is a little old, and others have
 // sent calls there meanwhile.
 constexpr double queue_weight = 2.0;
@@ -50,21 +50,21 @@
 // free waits. In times of the upstream itself a fast one was kept full while a
 // slow one had a third of its slots free: at 0.88 of what three could do, one
 // of them half as fast, 41 in 100 calls waited, and 27 this way.
-constexpr double crowd_weight = 0.5;
+constexpr double contention_weight = 0.5;
 // No more is added beyond this share: upstreams that are all full differ by
 // their queues alone.
-constexpr double most_crowded = 0.95;
-constexpr double mean_hold_weight = 1.0 / 64;
+constexpr double max_contended_utilization = 0.95;
+constexpr double mean_slot_time_weight = 1.0 / 64;
 // Moves faster: a surge fills all upstreams within a second or two.
-constexpr double mean_taken_weight = 1.0 / 16;
+constexpr double mean_utilization_weight = 1.0 / 16;
 // How fast an upstream is changes seldom; a cold one warms up in seconds.
-constexpr double hold_half_life_seconds = 10;
+constexpr double slot_time_half_life_seconds = 10;
 // Another data centre of the region: the way there and back, and a share of the
 // time that keeps calls near until six tenths of the near slots are taken. At a
 // tenth of the time, nine times as many bytes crossed data centres on a calm
 // day.
-constexpr double far_seconds = 0.002;
-constexpr double far_share = 0.6;
+constexpr double far_round_trip_seconds = 0.002;
+constexpr double far_slot_time_share = 0.6;
 
 double seconds(duration time)
 {
@@ -98,31 +98,31 @@
     kept.reserve(candidates.size());
     for (const candidate& each : candidates)
     {
-        const auto known = std::find_if(
+        const auto existing = std::find_if(
             entries_.begin(),
             entries_.end(),
             [&each](const entry& old)
             {
-                return old.where.host == each.host &&
-                       old.where.start == each.start;
+                return old.upstream.host == each.host &&
+                       old.upstream.start == each.start;
             });
-        if (known != entries_.end())
+        if (existing != entries_.end())
         {
-            known->where = each;
-            kept.push_back(std::move(*known));
-            entries_.erase(known);
+            existing->upstream = each;
+            kept.push_back(std::move(*existing));
+            entries_.erase(existing);
             continue;
         }
         entry added;
         added.handle = upstream_handle(++last_handle_);
-        added.where = each;
-        added.warm_at = running ? now + ramp : now;
+        added.upstream = each;
+        added.slow_start_until = running ? now + slow_start_duration : now;
         kept.push_back(std::move(added));
     }
     entries_ = std::move(kept);
 }
 
-router::pick router::find(upstream_handle handle) const
+router::upstream_index router::find(upstream_handle handle) const
 {
     for (std::size_t index = 0; index < entries_.size(); ++index)
     {
@@ -139,7 +139,7 @@
     std::span<const upstream_handle> tried,
     time_point now) const
 {
-    return !each.where.leaving && now >= each.leaves_until &&
+    return !each.upstream.leaving && now >= each.excluded_until &&
            std::find(tried.begin(), tried.end(), each.handle) == tried.end();
 }
 
@@ -154,25 +154,27 @@
     time_point now,
     random_engine& engine)
 {
-    if (const pick probe = due_probe(call, tried, now))
+    if (const upstream_index probe = due_probe(call, tried, now))
     {
         entries_[*probe].health.begin_probe();
         return entries_[*probe].handle;
     }
     if (!options_.near_first)
     {
-        const pick chosen = choose_by_time(call, tried, now, engine);
+        const upstream_index chosen =
+            choose_by_expected_time(call, tried, now, engine);
         return chosen ? std::optional(entries_[*chosen].handle) : std::nullopt;
     }
     for (const network_distance distance : distances)
     {
-        const auto takes = [&](const entry& each)
+        const auto accepts = [&](const entry& each)
         {
-            return each.where.distance == distance &&
+            return each.upstream.distance == distance &&
                    usable(each, tried, now) && healthy(each, call.bulk, now) &&
-                   each.health.takes(call, now);
+                   each.health.accepts(call, now);
         };
-        if (const pick chosen = best_of_two(call.bulk, now, engine, takes))
+        if (const upstream_index chosen =
+                best_of_two(call.bulk, now, engine, accepts))
         {
             return entries_[*chosen].handle;
         }
@@ -182,7 +184,8 @@
     {
         return usable(each, tried, now) && healthy(each, call.bulk, now);
     };
-    if (const pick chosen = best_of_two(call.bulk, now, engine, is_healthy))
+    if (const upstream_index chosen =
+            best_of_two(call.bulk, now, engine, is_healthy))
     {
         return entries_[*chosen].handle;
     }
@@ -190,14 +193,14 @@
     {
         return usable(each, tried, now);
     };
-    if (const pick chosen = best_of_two(call.bulk, now, engine, any))
+    if (const upstream_index chosen = best_of_two(call.bulk, now, engine, any))
     {
         return entries_[*chosen].handle;
     }
     return std::nullopt;
 }
 
-router::pick router::choose_by_time(
+router::upstream_index router::choose_by_expected_time(
     const call_facts& call,
     std::span<const upstream_handle> tried,
     time_point now,
@@ -209,13 +212,14 @@
     };
     const auto is_near = [&](const entry& each)
     {
-        return each.where.distance == network_distance::same_data_center &&
+        return each.upstream.distance == network_distance::same_data_center &&
                is_healthy(each);
     };
     // Two of the near ones compete with two of all: two of all alone are both
     // far in most draws.
-    const pick near = best_of_two(call.bulk, now, engine, is_near);
-    const pick chosen = best_of_two(call.bulk, now, engine, is_healthy);
+    const upstream_index near = best_of_two(call.bulk, now, engine, is_near);
+    const upstream_index chosen =
+        best_of_two(call.bulk, now, engine, is_healthy);
     if (near && chosen)
     {
         const bool is_nearer = cost(entries_[*near], call.bulk, now) <=
@@ -233,7 +237,7 @@
     return best_of_two(call.bulk, now, engine, any);
 }
 
-bool router::takes_elsewhere(
+bool router::has_alternative(
     const call_facts& call,
     std::span<const upstream_handle> tried,
     time_point now) const
@@ -244,26 +248,26 @@
         [&](const entry& each)
         {
             return usable(each, tried, now) && healthy(each, call.bulk, now) &&
-                   each.health.takes(call, now);
+                   each.health.accepts(call, now);
         });
 }
 
-bool router::worth_moving(
+bool router::should_try_elsewhere(
     const call_facts& call,
     std::span<const upstream_handle> tried,
     time_point now) const
 {
-    const bool pressed = std::any_of(
+    const bool any_refuses = std::any_of(
         entries_.begin(),
         entries_.end(),
         [now](const entry& each)
         {
-            return each.health.refuses(now);
+            return each.health.refuses_any(now);
         });
-    return !pressed && takes_elsewhere(call, tried, now);
+    return !any_refuses && has_alternative(call, tried, now);
 }
 
-router::pick router::due_probe(
+router::upstream_index router::due_probe(
     const call_facts& call,
     std::span<const upstream_handle> tried,
     time_point now)
@@ -286,87 +290,101 @@
 
 // What is known of an upstream now: its own word as far as that is recent, and
 // the mean of the service's other words for the rest.
-router::expectation router::expect(const entry& each, time_point now) const
+router::load_estimate
+router::estimate_load(const entry& each, time_point now) const
 {
     if (each.load.slots == 0)
     {
-        return {mean_hold_, mean_taken_, mean_slots_};
+        return {mean_slot_time_, mean_utilization_, mean_slots_};
     }
-    const double told_hold =
-        std::max(seconds(each.load.hold), least_hold_seconds);
+    const double reported_slot_time =
+        std::max(seconds(each.load.slot_time), min_slot_time_seconds);
     const auto slots = static_cast<double>(each.load.slots);
     const auto calls =
         static_cast<double>(each.load.running + each.load.waiting);
-    const double age = seconds(now - each.load_at - load_lifetime);
+    const double age = seconds(now - each.load_received_at - load_lifetime);
     if (age <= 0)
     {
-        const auto sent = static_cast<double>(each.sent_since);
-        return {told_hold, (calls + sent) / slots, slots};
+        const auto sent = static_cast<double>(each.sent_since_report);
+        return {reported_slot_time, (calls + sent) / slots, slots};
     }
-    const auto sent =
-        static_cast<double>(std::min(each.sent_since, each.health.in_flight()));
-    const double load_half_life = std::max(told_hold, seconds(load_lifetime));
+    const auto sent = static_cast<double>(
+        std::min(each.sent_since_report, each.health.in_flight()));
+    const double load_half_life =
+        std::max(reported_slot_time, seconds(load_lifetime));
     const double load_share = std::exp2(-age / load_half_life);
-    const double hold_share = std::exp2(-age / hold_half_life_seconds);
+    const double slot_time_share =
+        std::exp2(-age / slot_time_half_life_seconds);
     return {
-        mean_hold_ + (told_hold - mean_hold_) * hold_share,
-        mean_taken_ + (calls / slots - mean_taken_) * load_share + sent / slots,
+        mean_slot_time_ +
+            (reported_slot_time - mean_slot_time_) * slot_time_share,
+        mean_utilization_ + (calls / slots - mean_utilization_) * load_share +
+            sent / slots,
         slots};
 }
 
 // The expected time of one more call there, in seconds; nothing where no
 // upstream of the service has told its load.
 std::optional<double>
-router::told_cost(const entry& each, bool bulk, time_point now) const
+router::reported_cost(const entry& each, bool bulk, time_point now) const
 {
-    if (mean_hold_ <= 0)
+    if (mean_slot_time_ <= 0)
     {
         return std::nullopt;
     }
-    const auto [hold, taken, slots] = expect(each, now);
-    const double queue = std::max(taken - 1.0, 0.0) * queue_weight;
-    const double expected = hold * (1.0 + queue) +
-                            crowd(taken, slots) * mean_hold_ + way(each, hold);
-    return std::max(expected, seconds(each.health.quiet(bulk, now)));
+    const auto [slot_time, utilization, slots] = estimate_load(each, now);
+    const double queue = std::max(utilization - 1.0, 0.0) * queue_weight;
+    const double expected =
+        slot_time * (1.0 + queue) +
+        contention_cost(utilization, slots) * mean_slot_time_ +
+        distance_cost(each, slot_time);
+    return std::max(
+        expected, seconds(each.health.time_without_progress(bulk, now)));
 }
 
 // What it costs to take one of the last slots, in mean times of a call. The
 // exponent is that of the usual approximation of the wait at many servers: of
 // 72 slots the sixtieth still finds others free, of 8 the seventh hardly.
-double router::crowd(double taken, double slots)
+double router::contention_cost(double utilization, double slots)
 {
-    const double filled = std::min(taken, most_crowded);
+    const double contended = std::min(utilization, max_contended_utilization);
     const double exponent = std::sqrt(2.0 * (slots + 1.0)) - 1.0;
-    return crowd_weight * std::pow(filled, exponent) / (1.0 - filled);
+    return contention_weight * std::pow(contended, exponent) /
+           (1.0 - contended);
 }
 
 // What the distance adds to the expected time, in seconds.
-double router::way(const entry& each, double hold) const
+double router::distance_cost(const entry& each, double slot_time) const
 {
-    const bool near = each.where.distance == network_distance::same_data_center;
-    return options_.near_first || near ? 0.0 : far_seconds + hold * far_share;
+    const bool near =
+        each.upstream.distance == network_distance::same_data_center;
+    return options_.near_first || near
+               ? 0.0
+               : far_round_trip_seconds + slot_time * far_slot_time_share;
 }
 
 double router::cost(const entry& each, bool bulk, time_point now) const
 {
-    const double failing = each.errors.cost(sent_, now);
-    const auto told = told_cost(each, bulk, now);
-    if (told && each.load.slots > 0)
+    const double failing = each.errors.cost(calls_sent_, now);
+    const auto reported = reported_cost(each, bulk, now);
+    if (reported && each.load.slots > 0)
     {
-        return *told + failing;
+        return *reported + failing;
     }
-    const double expected = told.value_or(
-        each.health.cost(bulk) + way(each, each.health.latency(bulk)));
-    if (now >= each.warm_at)
+    const double expected = reported.value_or(
+        each.health.cost(bulk) +
+        distance_cost(each, each.health.latency(bulk)));
+    if (now >= each.slow_start_until)
     {
         return expected + failing;
     }
-    const double left = seconds(each.warm_at - now) / seconds(ramp);
-    return (expected + failing) * (1.0 + ramp_cost * left);
+    const double left =
+        seconds(each.slow_start_until - now) / seconds(slow_start_duration);
+    return (expected + failing) * (1.0 + slow_start_cost * left);
 }
 
 template <class Accept>
-router::pick router::best_of_two(
+router::upstream_index router::best_of_two(
     bool bulk, time_point now, random_engine& engine, const Accept& accept)
 {
     // Two of those accepted, by reservoir sampling: no list is built.
@@ -409,13 +427,13 @@
 
 void router::on_start(upstream_handle to, bool bulk, time_point now)
 {
-    if (const pick found = find(to))
+    if (const upstream_index found = find(to))
     {
-        ++sent_;
+        ++calls_sent_;
         entry& one = entries_[*found];
         one.health.on_start(bulk, now);
-        one.errors.on_start(sent_, now);
-        ++one.sent_since;
+        one.errors.on_start(calls_sent_, now);
+        ++one.sent_since_report;
     }
 }
 
@@ -443,18 +461,18 @@
 void router::on_leaving(upstream_handle from, bool bulk, time_point now)
 {
     on_neutral(from, bulk, now);
-    if (const pick found = find(from))
+    if (const upstream_index found = find(from))
     {
-        entries_[*found].leaves_until = now + leaving_memory;
+        entries_[*found].excluded_until = now + leaving_retention;
     }
 }
 
-void router::on_gone(upstream_handle from, bool bulk, time_point now)
+void router::on_address_reused(upstream_handle from, bool bulk, time_point now)
 {
     on_neutral(from, bulk, now);
-    if (const pick found = find(from))
+    if (const upstream_index found = find(from))
     {
-        entries_[*found].leaves_until = now + gone_memory;
+        entries_[*found].excluded_until = now + reused_address_retention;
     }
 }
 
@@ -465,7 +483,7 @@
     duration elapsed,
     time_point now)
 {
-    const pick found = find(from);
+    const upstream_index found = find(from);
     if (!found)
     {
         return;
@@ -491,49 +509,50 @@
 
 bool router::may_eject(const entry& suspect) const
 {
-    std::size_t staying = 0;
-    std::size_t sound = 0;
+    std::size_t active = 0;
+    std::size_t healthy_others = 0;
     for (const entry& each : entries_)
     {
-        if (each.where.leaving)
+        if (each.upstream.leaving)
         {
             continue;
         }
-        ++staying;
+        ++active;
         const bool other = &each != &suspect;
-        sound += other && !each.health.ejected() && !each.health.failed_last();
+        healthy_others +=
+            other && !each.health.ejected() && !each.health.failed_last();
     }
-    return sound * 2 >= staying;
+    return healthy_others * 2 >= active;
 }
 
 double router::median_of_others(const entry& one, bool bulk) const
 {
-    values_.clear();
+    scratch_.clear();
     for (const entry& each : entries_)
     {
         const double latency = each.health.latency(bulk);
         if (&each != &one && latency > 0 && !each.health.ejected())
         {
-            values_.push_back(latency);
+            scratch_.push_back(latency);
         }
     }
-    return upper_median(values_);
+    return upper_median(scratch_);
 }
 
 lane_level router::median_level(bool bulk, time_point now) const
 {
-    values_.clear();
+    scratch_.clear();
     for (const entry& each : entries_)
     {
-        if (!each.where.leaving && !each.health.ejected())
+        if (!each.upstream.leaving && !each.health.ejected())
         {
             const admission_level level = each.health.level(now);
-            values_.push_back(
+            scratch_.push_back(
                 pass_below(bulk ? level.bulk_lane : level.short_lane));
         }
     }
-    return values_.empty() ? lane_level{}
-                           : lane_level_below(upper_median(values_));
+    return scratch_.empty() ? lane_level{}
+                            : lane_level_below(upper_median(scratch_));
 }
 
 admission_level router::service_level(time_point now) const
@@ -549,7 +568,7 @@
     return all;
 }
 
-admission_level level_ahead(
+admission_level call_path_level(
     const router& route, const answer_levels& levels, bool bulk, time_point now)
 {
     admission_level own = route.service_level(now);
@@ -563,10 +582,10 @@
 {
     const double own = suspect.health.latency(bulk);
     double& mean = mean_latency_[bulk ? 1 : 0];
-    mean = mean == 0 ? own : mean + (own - mean) * mean_weight;
+    mean = mean == 0 ? own : mean + (own - mean) * mean_latency_weight;
     // The median is looked up only for those that may lie far above it.
-    if (suspect.health.ejected() || own < least_slow_seconds ||
-        own < mean * suspect_factor)
+    if (suspect.health.ejected() || own < min_slow_seconds ||
+        own < mean * median_check_factor)
     {
         return;
     }
@@ -579,7 +598,7 @@
 
 std::optional<duration> router::try_timeout(upstream_handle at, bool bulk) const
 {
-    const pick found = find(at);
+    const upstream_index found = find(at);
     if (!found)
     {
         return std::nullopt;
@@ -590,7 +609,7 @@
         return std::nullopt;
     }
     const double seconds =
-        std::max(others * timeout_factor, least_timeout_seconds);
+        std::max(others * timeout_factor, min_timeout_seconds);
     return std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(seconds));
 }
@@ -598,43 +617,44 @@
 void router::on_load(
     upstream_handle from, const upstream_load& load, time_point now)
 {
-    if (const pick found = find(from))
+    if (const upstream_index found = find(from))
     {
         entry& one = entries_[*found];
         one.load = load;
-        one.load_at = now;
-        one.sent_since = 0;
-        learn_means(load);
-        one.errors.on_word(load.errors, sent_, now);
+        one.load_received_at = now;
+        one.sent_since_report = 0;
+        update_means(load);
+        one.errors.on_report(load.errors, calls_sent_, now);
     }
 }
 
-void router::learn_means(const upstream_load& load)
+void router::update_means(const upstream_load& load)
 {
-    if (load.slots == 0 || load.hold <= duration(0))
+    if (load.slots == 0 || load.slot_time <= duration(0))
     {
         return;
     }
-    const double hold = seconds(load.hold);
+    const double slot_time = seconds(load.slot_time);
     const auto slots = static_cast<double>(load.slots);
-    const double taken =
+    const double utilization =
         static_cast<double>(load.running + load.waiting) / slots;
-    if (mean_hold_ <= 0)
+    if (mean_slot_time_ <= 0)
     {
-        mean_hold_ = hold;
-        mean_taken_ = taken;
+        mean_slot_time_ = slot_time;
+        mean_utilization_ = utilization;
         mean_slots_ = slots;
         return;
     }
-    mean_hold_ += (hold - mean_hold_) * mean_hold_weight;
-    mean_taken_ += (taken - mean_taken_) * mean_taken_weight;
-    mean_slots_ += (slots - mean_slots_) * mean_hold_weight;
+    mean_slot_time_ += (slot_time - mean_slot_time_) * mean_slot_time_weight;
+    mean_utilization_ +=
+        (utilization - mean_utilization_) * mean_utilization_weight;
+    mean_slots_ += (slots - mean_slots_) * mean_slot_time_weight;
 }
 
 void router::on_level(
     upstream_handle from, const admission_level& level, time_point now)
 {
-    if (const pick found = find(from))
+    if (const upstream_index found = find(from))
     {
         entries_[*found].health.on_level(level, now);
     }
@@ -642,8 +662,8 @@
 
 const host_id* router::host(upstream_handle of) const
 {
-    const pick found = find(of);
-    return found ? &entries_[*found].where.host : nullptr;
+    const upstream_index found = find(of);
+    return found ? &entries_[*found].upstream.host : nullptr;
 }
 
 std::vector<upstream_state> router::state() const
@@ -655,11 +675,11 @@
         const std::chrono::duration<double> latency(each.health.latency(false));
         states.push_back(
             {each.handle,
-             each.where.host,
+             each.upstream.host,
              each.health.in_flight(),
              std::chrono::duration_cast<duration>(latency),
              each.health.ejected(),
-             each.where.leaving});
+             each.upstream.leaving});
     }
     return states;
 }
--- a/nutmegusher/policy/router.hpp
+++ b/nutmegusher/policy/router.hpp
@@ -31,7 +31,7 @@
 #include "nutmegusher/base/random.hpp"
 #include "nutmegusher/policy/admission_level.hpp"
 #include "nutmegusher/policy/call.hpp"
-#include "nutmegusher/policy/error_memory.hpp"
+#include "nutmegusher/policy/reported_error_rate.hpp"
 #include "nutmegusher/policy/upstream_health.hpp"
 
 #include <array>
@@ -81,7 +81,7 @@
     std::size_t waiting = 0;
     std::size_t slots = 0;
     // How long a call of its kind holds a slot there.
-    duration hold{0};
+    duration slot_time{0};
     // Of its answers lately, the share that are its own errors: `error_meter`.
     double errors = 0;
 };
@@ -125,14 +125,14 @@
     // Whether that is true now: another upstream takes the call, and none of
     // the service refuses anything. Where one does, slowness is load, and what
     // is given up half done would be done again.
-    [[nodiscard]] bool worth_moving(
+    [[nodiscard]] bool should_try_elsewhere(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
 
     // Whether an upstream outside of `tried` would take the call now, as far
     // as levels and observations tell.
-    [[nodiscard]] bool takes_elsewhere(
+    [[nodiscard]] bool has_alternative(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
@@ -155,13 +155,14 @@
     // retries is gone before the news arrives.
     void on_leaving(upstream_handle from, bool bulk, time_point now);
     // Another upstream answered at its address. It gets no call until `update`
-    // brings another address or start of it, or for `gone_memory`, whichever
-    // comes first. Without this each call to it is a try in vain.
-    void on_gone(upstream_handle from, bool bulk, time_point now);
+    // brings another address or start of it, or for `reused_address_retention`,
+    // whichever comes first. Without this each call to it is a try in vain.
+    void on_address_reused(upstream_handle from, bool bulk, time_point now);
 
     // Membership drops a host that is gone after three missed renewals of two
     // seconds; should the host be right after all, it is asked again then.
-    static constexpr duration gone_memory = std::chrono::seconds(6);
+    static constexpr duration reused_address_retention =
+        std::chrono::seconds(6);
 
     // The upstream's own word on its load that came with an answer.
     void
@@ -184,53 +185,56 @@
     struct entry
     {
         upstream_handle handle;
-        candidate where;
+        candidate upstream;
         internal::upstream_health health;
-        internal::error_memory errors;
+        internal::reported_error_rate errors;
         // It said that it leaves; membership hasn't told yet.
-        time_point leaves_until;
-        // Until then it gets less work: see `ramp`.
-        time_point warm_at;
+        time_point excluded_until;
+        // Until then it gets less work: see `slow_start_duration`.
+        time_point slow_start_until;
         upstream_load load;
-        time_point load_at;
+        time_point load_received_at;
         // Calls sent there since it told its load.
-        std::size_t sent_since = 0;
+        std::size_t sent_since_report = 0;
     };
 
-    using pick = std::optional<std::size_t>;
+    using upstream_index = std::optional<std::size_t>;
 
-    [[nodiscard]] pick find(upstream_handle handle) const;
+    [[nodiscard]] upstream_index find(upstream_handle handle) const;
     [[nodiscard]] bool usable(
         const entry& each,
         std::span<const upstream_handle> tried,
         time_point now) const;
     [[nodiscard]] bool
     healthy(const entry& each, bool bulk, time_point now) const;
-    pick due_probe(
+    upstream_index due_probe(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now);
     template <class Accept>
-    pick best_of_two(
+    upstream_index best_of_two(
         bool bulk, time_point now, random_engine& engine, const Accept& accept);
     [[nodiscard]] double
     cost(const entry& each, bool bulk, time_point now) const;
-    [[nodiscard]] static double crowd(double taken, double slots);
-    [[nodiscard]] double way(const entry& each, double hold) const;
-    struct expectation
+    [[nodiscard]] static double
+    contention_cost(double utilization, double slots);
+    [[nodiscard]] double
+    distance_cost(const entry& each, double slot_time) const;
+    struct load_estimate
     {
         // Seconds that a call holds a slot.
-        double hold = 0;
+        double slot_time = 0;
         // Slots in use or asked for, over slots there are.
-        double taken = 0;
+        double utilization = 0;
         double slots = 0;
     };
 
-    [[nodiscard]] expectation expect(const entry& each, time_point now) const;
+    [[nodiscard]] load_estimate
+    estimate_load(const entry& each, time_point now) const;
     [[nodiscard]] std::optional<double>
-    told_cost(const entry& each, bool bulk, time_point now) const;
-    void learn_means(const upstream_load& load);
-    [[nodiscard]] pick choose_by_time(
+    reported_cost(const entry& each, bool bulk, time_point now) const;
+    void update_means(const upstream_load& load);
+    [[nodiscard]] upstream_index choose_by_expected_time(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now,
@@ -249,24 +253,24 @@
     router_options options_;
     std::vector<entry> entries_;
     // Room for the medians.
-    mutable std::vector<double> values_;
+    mutable std::vector<double> scratch_;
     // Over all upstreams' moving means, by lane.
     std::array<double, 2> mean_latency_{};
     std::uint64_t last_handle_ = 0;
     // How long calls hold a slot, over all upstreams' words; seconds.
-    double mean_hold_ = 0;
+    double mean_slot_time_ = 0;
     // Slots in use or asked for over slots there are, likewise.
-    double mean_taken_ = 0;
+    double mean_utilization_ = 0;
     double mean_slots_ = 0;
     // Calls sent to all upstreams.
-    std::uint64_t sent_ = 0;
+    std::uint64_t calls_sent_ = 0;
 };
 
 // What lies ahead of calls of an answered call's class: the stricter of the
 // service's level in the call's lane and of what the answer tells of deeper
 // services. Both lanes of the result are the same, as a long transfer may
 // need short calls further down.
-[[nodiscard]] admission_level level_ahead(
+[[nodiscard]] admission_level call_path_level(
     const router& route,
     const answer_levels& levels,
     bool bulk,
--- a/nutmegusher/policy/router_at_size_test.cpp
+++ b/nutmegusher/policy/router_at_size_test.cpp
@@ -29,20 +29,20 @@
 constexpr std::array speeds{0.5, 1.0, 1.0, 1.5};
 constexpr double work_seconds = 0.55;
 // What a call waits for below its upstream, while it holds the slot.
-constexpr double below_seconds = 1.5;
+constexpr double sub_call_seconds = 1.5;
 constexpr double target_seconds = 2.5;
-constexpr double hold_weight = 1.0 / 8;
+constexpr double slot_time_weight = 1.0 / 8;
 
 struct upstream
 {
     double speed = 1;
     std::size_t data_center = 0;
     std::size_t running = 0;
-    double hold = 0;
+    double slot_time = 0;
     std::queue<std::size_t> waiting;
 };
 
-struct call_in_work
+struct call_in_flight
 {
     std::size_t daemon = 0;
     std::size_t upstream = 0;
@@ -75,9 +75,11 @@
     // that calls ask for.
     double share_in_time(double load, double seconds)
     {
-        const double mean_hold = work_seconds * mean_slowness() + below_seconds;
-        const double rate =
-            load * static_cast<double>(slots * upstreams_.size()) / mean_hold;
+        const double mean_slot_time =
+            work_seconds * mean_slowness() + sub_call_seconds;
+        const double rate = load *
+                            static_cast<double>(slots * upstreams_.size()) /
+                            mean_slot_time;
         double next = 0;
         while (next < seconds)
         {
@@ -138,7 +140,7 @@
 
     void begin(double now)
     {
-        call_in_work one;
+        call_in_flight one;
         one.daemon = uniform_below(engine_, routers_.size());
         auto& route = routers_[one.daemon];
         one.handle = *route.choose({}, {}, at_time(now), engine_);
@@ -161,7 +163,7 @@
             ++at.running;
             std::lognormal_distribution<double> spread(-0.045, 0.3);
             const double work = work_seconds * spread(engine_) / at.speed;
-            ends_.emplace(now + work + below_seconds, at.waiting.front());
+            ends_.emplace(now + work + sub_call_seconds, at.waiting.front());
             at.waiting.pop();
         }
     }
@@ -171,16 +173,18 @@
         const auto& one = calls_[which];
         auto& at = upstreams_[one.upstream];
         --at.running;
-        const double held = now - one.started;
-        at.hold =
-            at.hold <= 0 ? held : at.hold + (held - at.hold) * hold_weight;
+        const double call_slot_time = now - one.started;
+        at.slot_time = at.slot_time <= 0
+                           ? call_slot_time
+                           : at.slot_time + (call_slot_time - at.slot_time) *
+                                                slot_time_weight;
         start_waiting(at, now);
         auto& route = routers_[one.daemon];
-        const auto hold = std::chrono::duration_cast<duration>(
-            std::chrono::duration<double>(at.hold));
+        const auto slot_time = std::chrono::duration_cast<duration>(
+            std::chrono::duration<double>(at.slot_time));
         route.on_load(
             one.handle,
-            {at.running, at.waiting.size(), slots, hold},
+            {at.running, at.waiting.size(), slots, slot_time},
             at_time(now));
         const auto elapsed = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(now - one.sent));
@@ -192,7 +196,7 @@
     random_engine engine_;
     std::vector<upstream> upstreams_;
     std::vector<router> routers_;
-    std::vector<call_in_work> calls_;
+    std::vector<call_in_flight> calls_;
     using ending = std::pair<double, std::size_t>;
     std::priority_queue<ending, std::vector<ending>, std::greater<>> ends_;
     std::size_t ended_ = 0;
@@ -202,7 +206,7 @@
 constexpr std::size_t many_daemons = 195;
 constexpr std::size_t few_daemons = 15;
 constexpr std::size_t upstreams_at_size = 96;
-constexpr double seconds_played = 40;
+constexpr double simulated_seconds = 40;
 // As much as the users allow one measurement to differ from another.
 constexpr double tolerance = 0.03;
 
@@ -221,10 +225,10 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
         few += service(few_daemons, upstreams_at_size, seed)
-                   .share_in_time(GetParam(), seconds_played) /
+                   .share_in_time(GetParam(), simulated_seconds) /
                seeds;
         many += service(many_daemons, upstreams_at_size, seed)
-                    .share_in_time(GetParam(), seconds_played) /
+                    .share_in_time(GetParam(), simulated_seconds) /
                 seeds;
     }
     EXPECT_GT(many, few - tolerance);
--- a/nutmegusher/policy/router_balance_test.cpp
+++ b/nutmegusher/policy/router_balance_test.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t slots = 29;
 constexpr std::size_t upstream_count = 3;
-constexpr std::array<duration, upstream_count> holds{16ms, 16ms, 33ms};
+constexpr std::array<duration, upstream_count> slot_times{16ms, 16ms, 33ms};
 
 double seconds_of(duration time)
 {
@@ -40,7 +40,7 @@
     explicit shared_service(double demand)
     {
         double calls_per_second = 0;
-        for (const auto hold : holds)
+        for (const auto hold : slot_times)
         {
             calls_per_second += slots / seconds_of(hold);
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    void play(duration time)
+    void simulate(duration time)
     {
         const auto begin = now_;
         const auto until = now_ + time;
@@ -71,16 +71,17 @@
             ends_.erase(ends_.begin());
             finish(one);
         }
-        played_ = seconds_of(now_ - begin);
+        simulated_seconds_ = seconds_of(now_ - begin);
     }
 
     // The share of its slots that were in use.
-    [[nodiscard]] std::array<double, upstream_count> used() const
+    [[nodiscard]] std::array<double, upstream_count> utilization() const
     {
         std::array<double, upstream_count> shares{};
         for (std::size_t i = 0; i < upstream_count; ++i)
         {
-            shares[i] = upstreams_[i].worked / (played_ * slots);
+            shares[i] =
+                upstreams_[i].busy_seconds / (simulated_seconds_ * slots);
         }
         return shares;
     }
@@ -101,7 +102,7 @@
     {
         std::size_t running = 0;
         std::deque<std::size_t> waiting;
-        double worked = 0;
+        double busy_seconds = 0;
     };
 
     // Four data centres with three callers each, three of them with an
@@ -141,8 +142,9 @@
     void start(running_call one)
     {
         ++upstreams_[one.upstream].running;
-        const double work = seconds_of(holds[one.upstream]) * spread_(engine_);
-        upstreams_[one.upstream].worked += work;
+        const double work =
+            seconds_of(slot_times[one.upstream]) * spread_(engine_);
+        upstreams_[one.upstream].busy_seconds += work;
         ends_.emplace(now_ + from_seconds(work), one);
     }
 
@@ -157,10 +159,14 @@
             start({caller, one.upstream});
         }
         const upstream_handle from(one.upstream + 1);
-        const upstream_load word{
-            there.running, there.waiting.size(), slots, holds[one.upstream]};
-        callers_[one.caller].on_load(from, word, now_);
-        callers_[one.caller].on_answer(from, false, holds[one.upstream], now_);
+        const upstream_load load{
+            there.running,
+            there.waiting.size(),
+            slots,
+            slot_times[one.upstream]};
+        callers_[one.caller].on_load(from, load, now_);
+        callers_[one.caller].on_answer(
+            from, false, slot_times[one.upstream], now_);
     }
 
     std::vector<router> callers_;
@@ -168,7 +174,7 @@
     std::multimap<time_point, running_call> ends_;
     std::size_t calls_ = 0;
     std::size_t waited_ = 0;
-    double played_ = 0;
+    double simulated_seconds_ = 0;
     time_point now_{std::chrono::hours(1)};
     random_engine engine_{11};
     std::exponential_distribution<double> gap_;
@@ -178,9 +184,10 @@
 TEST(router_balance, none_is_full_while_the_service_has_room)
 {
     shared_service service(0.88);
-    service.play(20s);
-    const auto used = service.used();
-    const auto [least, most] = std::minmax_element(used.begin(), used.end());
+    service.simulate(20s);
+    const auto utilization = service.utilization();
+    const auto [least, most] =
+        std::minmax_element(utilization.begin(), utilization.end());
     EXPECT_LT(*most, 0.91);
     EXPECT_GT(*least, 0.80);
     EXPECT_LT(service.share_that_waited(), 0.30);
@@ -189,8 +196,8 @@
 TEST(router_balance, a_slow_one_is_spared_at_half_of_what_the_service_can_do)
 {
     shared_service service(0.5);
-    service.play(10s);
-    EXPECT_LT(service.used()[2], 0.45);
+    service.simulate(10s);
+    EXPECT_LT(service.utilization()[2], 0.45);
     EXPECT_LT(service.share_that_waited(), 0.01);
 }
 
--- a/nutmegusher/policy/router_by_time_test.cpp
+++ b/nutmegusher/policy/router_by_time_test.cpp
@@ -13,10 +13,10 @@
 
 using namespace std::chrono_literals;
 
-class by_time : public ::testing::Test
+class routing_by_expected_time : public ::testing::Test
 {
 protected:
-    by_time()
+    routing_by_expected_time()
         : route(router_options{false})
     {
         const std::array<candidate, 3> all{
@@ -27,8 +27,8 @@
     }
 
     // Tells the loads and counts where a thousand calls would go.
-    std::array<int, 3>
-    shares(const std::array<std::size_t, 3>& calls, duration slow_hold = 44ms)
+    std::array<int, 3> shares(
+        const std::array<std::size_t, 3>& calls, duration slow_slot_time = 44ms)
     {
         std::array<int, 3> counts{};
         for (int i = 0; i < 1000; ++i)
@@ -41,7 +41,7 @@
                     {running,
                      calls[at - 1] - running,
                      31,
-                     at == 1 ? slow_hold : duration(18ms)},
+                     at == 1 ? slow_slot_time : duration(18ms)},
                     now);
             }
             const auto chosen = route.choose({}, {}, now, engine);
@@ -55,25 +55,29 @@
     router route;
 };
 
-TEST_F(by_time, a_full_near_upstream_sends_calls_to_far_ones_with_room)
+TEST_F(
+    routing_by_expected_time,
+    a_full_near_upstream_sends_calls_to_far_ones_with_room)
 {
     const auto counts = shares({31 + 40, 10, 10});
     EXPECT_EQ(counts[0], 0);
 }
 
-TEST_F(by_time, a_slow_one_gets_calls_before_the_others_are_full)
+TEST_F(
+    routing_by_expected_time, a_slow_one_gets_calls_before_the_others_are_full)
 {
     const auto counts = shares({2, 30, 30});
     EXPECT_GT(counts[0], 600);
 }
 
-TEST_F(by_time, a_slow_one_is_spared_while_the_others_have_room)
+TEST_F(
+    routing_by_expected_time, a_slow_one_is_spared_while_the_others_have_room)
 {
     const auto counts = shares({2, 10, 10});
     EXPECT_EQ(counts[0], 0);
 }
 
-TEST_F(by_time, light_loads_stay_near_among_equals)
+TEST_F(routing_by_expected_time, light_loads_stay_near_among_equals)
 {
     const auto counts = shares({5, 5, 5}, 18ms);
     EXPECT_GT(counts[0], 600);
@@ -81,7 +85,9 @@
 
 // Two upstreams of 72 slots and one that is a third slower: at eight tenths a
 // call still finds a slot free at once in the faster ones.
-TEST_F(by_time, a_slow_one_is_spared_until_large_ones_are_nearly_full)
+TEST_F(
+    routing_by_expected_time,
+    a_slow_one_is_spared_until_large_ones_are_nearly_full)
 {
     const std::array<candidate, 3> alike{
         candidate{host_id("slow"), network_distance::same_data_center},
@@ -104,11 +110,11 @@
 
 // One upstream of three fails half of its calls at once, and has the shortest
 // queue for it; calls come at 500 a second.
-class one_fails : public by_time
+class routing_with_one_failing_upstream : public routing_by_expected_time
 {
 protected:
     // Calls that went to the failing one within the time.
-    int play(duration length)
+    int simulate(duration length)
     {
         int failing = 0;
         for (const auto until = now + length; now < until; now += 2ms)
@@ -117,37 +123,39 @@
             route.on_start(chosen, false, now);
             const bool fails = chosen.value() == 1;
             failing += fails ? 1 : 0;
-            route.on_load(chosen, fails ? quick : sound, now);
+            route.on_load(chosen, fails ? failing_load : healthy_load, now);
             route.on_answer(chosen, false, fails ? 2ms : 18ms, now);
         }
         return failing;
     }
 
-    upstream_load quick{1, 0, 31, 2ms, 0.5};
-    upstream_load sound{10, 0, 31, 18ms, 0.0};
+    upstream_load failing_load{1, 0, 31, 2ms, 0.5};
+    upstream_load healthy_load{10, 0, 31, 18ms, 0.0};
 };
 
-TEST_F(one_fails, it_gets_a_call_a_second_to_be_checked)
+TEST_F(routing_with_one_failing_upstream, it_gets_one_check_call_a_second)
 {
-    play(1s);
-    EXPECT_LE(play(10s), 20);
+    simulate(1s);
+    EXPECT_LE(simulate(10s), 20);
 }
 
-TEST_F(one_fails, it_gets_calls_again_when_it_has_recovered)
+TEST_F(
+    routing_with_one_failing_upstream,
+    it_gets_calls_again_when_it_has_recovered)
 {
-    play(1s);
-    quick.errors = 0;
-    play(2s);
-    EXPECT_GT(play(1s), 100);
+    simulate(1s);
+    failing_load.errors = 0;
+    simulate(2s);
+    EXPECT_GT(simulate(1s), 100);
 }
 
-TEST_F(one_fails, all_are_used_where_all_fail)
+TEST_F(routing_with_one_failing_upstream, all_are_used_where_all_fail)
 {
-    sound.errors = 0.5;
-    sound.hold = quick.hold;
-    sound.running = quick.running;
-    play(1s);
-    EXPECT_GT(play(1s), 100);
+    healthy_load.errors = 0.5;
+    healthy_load.slot_time = failing_load.slot_time;
+    healthy_load.running = failing_load.running;
+    simulate(1s);
+    EXPECT_GT(simulate(1s), 100);
 }
 
 } // namespace
--- a/nutmegusher/policy/router_leaving_test.cpp
+++ b/nutmegusher/policy/router_leaving_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-TEST(router, one_that_says_it_leaves_gets_nothing_before_membership_tells)
+TEST(router, a_leaving_upstream_gets_no_calls_before_membership_reports_it)
 {
     manual_clock clock;
     random_engine engine(7);
@@ -37,7 +37,7 @@
     }
 }
 
-TEST(router, one_whose_address_is_anothers_gets_nothing_until_it_is_told_anew)
+TEST(router, an_upstream_whose_address_was_reused_gets_no_calls_until_updated)
 {
     manual_clock clock;
     random_engine engine(7);
@@ -57,7 +57,7 @@
     ASSERT_TRUE(first);
     ASSERT_EQ(*route.host(*first), host_id("gone"));
     route.on_start(*first, false, clock.now());
-    route.on_gone(*first, false, clock.now());
+    route.on_address_reused(*first, false, clock.now());
     for (int i = 0; i < 50; ++i)
     {
         route.update(both, clock.now());
@@ -70,7 +70,7 @@
 }
 
 // It was slow and had failed; its next start is judged afresh.
-TEST(router, a_new_start_is_not_judged_by_the_earlier_one)
+TEST(router, a_restarted_upstream_does_not_inherit_earlier_failures)
 {
     manual_clock clock;
     random_engine engine(7);
--- a/nutmegusher/policy/router_test.cpp
+++ b/nutmegusher/policy/router_test.cpp
@@ -85,7 +85,7 @@
     EXPECT_GT(chosen.at("1"), 300);
 }
 
-TEST_F(routing, widens_for_what_the_near_ones_refuse)
+TEST_F(routing, uses_far_upstreams_for_ranks_the_near_ones_refuse)
 {
     set_up(2, 4);
     admission_level level;
@@ -104,7 +104,7 @@
     EXPECT_LT(std::stoi(route.host(*near)->str()), 2);
 }
 
-TEST_F(routing, takes_work_from_a_silent_upstream_at_once_and_wins_it_back)
+TEST_F(routing, ejects_a_silent_upstream_at_once_and_readmits_it)
 {
     set_up(4, 0);
     run(100, milliseconds(10));
@@ -115,7 +115,7 @@
     EXPECT_GT(run(100, milliseconds(10))["2"], 0);
 }
 
-TEST_F(routing, takes_work_from_a_slow_upstream)
+TEST_F(routing, ejects_a_slow_upstream)
 {
     set_up(4, 0);
     run(200, milliseconds(10));
@@ -158,7 +158,7 @@
     EXPECT_FALSE(route.choose(call, tried, clock.now(), engine).has_value());
 }
 
-TEST_F(routing, a_service_is_pressed_only_when_half_of_it_is)
+TEST_F(routing, a_service_refuses_only_when_half_of_its_upstreams_do)
 {
     set_up(4, 0);
     admission_level level;
--- a/nutmegusher/policy/slot_queue.cpp
+++ b/nutmegusher/policy/slot_queue.cpp
@@ -87,7 +87,7 @@
     }
     const auto room = std::max(slots_per_second(), 1.0);
     const auto wait = returns_[call.rank].next(room, now);
-    return {reason, spread(wait, engine_)};
+    return {reason, jittered(wait, engine_)};
 }
 
 std::span<const settlement>
--- a/nutmegusher/policy/slot_queue.hpp
+++ b/nutmegusher/policy/slot_queue.hpp
@@ -32,7 +32,7 @@
 #include "nutmegusher/base/random.hpp"
 #include "nutmegusher/policy/admission_controller.hpp"
 #include "nutmegusher/policy/call.hpp"
-#include "nutmegusher/policy/return_time.hpp"
+#include "nutmegusher/policy/retry_after_schedule.hpp"
 #include "nutmegusher/policy/shed_control.hpp"
 #include "nutmegusher/policy/useful_slots.hpp"
 
@@ -174,7 +174,7 @@
     std::unordered_map<std::uint64_t, double> holds_;
     double mean_hold_ = 0;
     shed_control shed_;
-    std::map<std::uint8_t, return_schedule> returns_;
+    std::map<std::uint8_t, retry_after_schedule> returns_;
     random_engine engine_;
     std::vector<settlement> settled_;
 };
--- a/nutmegusher/policy/upstream_health.cpp
+++ b/nutmegusher/policy/upstream_health.cpp
@@ -16,18 +16,18 @@
 // The first probe comes within a quarter of the second in which service has
 // to be back; a longer trouble is probed ever more seldom.
 constexpr duration first_ejection = std::chrono::milliseconds(250);
-constexpr std::size_t most_doublings = 5;
+constexpr std::size_t max_doublings = 5;
 
 // As at the upstream itself: see `concurrency_limit`.
 constexpr double stall_latencies = 4;
-constexpr double shortest_stall_seconds = 0.05;
+constexpr double min_stall_seconds = 0.05;
 constexpr std::size_t stall_in_flight = 2;
 
 // Twice the memory of the meters behind a level; an older one says nothing.
 constexpr duration level_lifetime = std::chrono::milliseconds(500);
 
 // Before the first answer, an upstream costs as much as a fast one.
-constexpr double unknown_latency = 0.001;
+constexpr double default_latency = 0.001;
 
 } // namespace
 
@@ -84,7 +84,7 @@
 
 void upstream_health::eject(time_point now)
 {
-    const std::size_t doublings = std::min(ejections_in_row_, most_doublings);
+    const std::size_t doublings = std::min(ejections_in_row_, max_doublings);
     ejected_ = true;
     probe_running_ = false;
     ejected_until_ = now + first_ejection * (1 << doublings);
@@ -119,13 +119,13 @@
     {
         return false;
     }
-    const double quiet =
+    const double time_without_progress =
         std::chrono::duration<double>(now - lane.last_progress).count();
-    return quiet >
-           std::max(shortest_stall_seconds, lane.latency * stall_latencies);
+    return time_without_progress >
+           std::max(min_stall_seconds, lane.latency * stall_latencies);
 }
 
-duration upstream_health::quiet(bool bulk, time_point now) const
+duration upstream_health::time_without_progress(bool bulk, time_point now) const
 {
     const lane_observation& lane = lanes_[index_of(bulk)];
     return lane.in_flight == 0 ? duration(0) : now - lane.last_progress;
@@ -136,12 +136,12 @@
     return failures_in_row_ >= failures_to_eject;
 }
 
-bool upstream_health::takes(const call_facts& call, time_point now) const
+bool upstream_health::accepts(const call_facts& call, time_point now) const
 {
     return now >= level_until_ || passes(level_, call);
 }
 
-bool upstream_health::refuses(time_point now) const
+bool upstream_health::refuses_any(time_point now) const
 {
     const bool any = level_.short_lane.rank < rank_count ||
                      level_.bulk_lane.rank < rank_count;
@@ -151,7 +151,7 @@
 double upstream_health::cost(bool bulk) const
 {
     const lane_observation& lane = lanes_[index_of(bulk)];
-    const double latency = lane.latency > 0 ? lane.latency : unknown_latency;
+    const double latency = lane.latency > 0 ? lane.latency : default_latency;
     return static_cast<double>(lane.in_flight + 1) * latency;
 }
 
--- a/nutmegusher/policy/upstream_health.hpp
+++ b/nutmegusher/policy/upstream_health.hpp
@@ -67,7 +67,8 @@
 
     // How long calls have been in flight there without any end; zero where
     // none is.
-    [[nodiscard]] duration quiet(bool bulk, time_point now) const;
+    [[nodiscard]] duration
+    time_without_progress(bool bulk, time_point now) const;
 
     // Failed too often in a row.
     [[nodiscard]] bool failing() const;
@@ -79,10 +80,10 @@
     }
 
     // Whether its last level, if that is recent, lets the call in.
-    [[nodiscard]] bool takes(const call_facts& call, time_point now) const;
+    [[nodiscard]] bool accepts(const call_facts& call, time_point now) const;
 
     // Whether its last level, if that is recent, refuses anything.
-    [[nodiscard]] bool refuses(time_point now) const;
+    [[nodiscard]] bool refuses_any(time_point now) const;
 
     // Its last level if that is recent; otherwise one that refuses nothing.
     [[nodiscard]] admission_level level(time_point now) const
--- a/nutmegusher/routed/entry.cpp
+++ b/nutmegusher/routed/entry.cpp
@@ -79,7 +79,7 @@
         : crashes_(crashes)
         , digest_(digest)
     {
-        const auto judged = crashes.judge(digest);
+        const auto judged = crashes.assess(digest);
         if (judged.suspicion == crash_suspicion::quarantined)
         {
             come_back_ = come_back_from_quarantine;
@@ -388,7 +388,7 @@
         return refusal{
             call_reason::overload,
             call_outcome::not_run,
-            spread(come_back_after_shedding, here_.random)};
+            jittered(come_back_after_shedding, here_.random)};
     }
 
     // Sub-calls are part of what was let in; long transfers load other
@@ -430,7 +430,7 @@
             const refusal told{
                 call_reason::overload,
                 call_outcome::not_run,
-                spread(come_back_after_shedding, here_.random)};
+                jittered(come_back_after_shedding, here_.random)};
             co_await give_up(told);
         }
         co_return entered_;
@@ -621,7 +621,7 @@
 
     [[nodiscard]] bool is_quarantined() const
     {
-        const auto judged = state_.process.crashes.judge(call_.terms.digest);
+        const auto judged = state_.process.crashes.assess(call_.terms.digest);
         return judged.suspicion == crash_suspicion::quarantined;
     }
 
@@ -636,7 +636,7 @@
     // One that upstreams have ended under may end another one.
     [[nodiscard]] bool may_end_another() const
     {
-        return state_.process.crashes.judge(call_.terms.digest).ends >=
+        return state_.process.crashes.assess(call_.terms.digest).ends >=
                ends_to_isolate;
     }
 
@@ -751,7 +751,7 @@
         {
             return false;
         }
-        return state_.process.routes.takes_elsewhere(
+        return state_.process.routes.has_alternative(
                    service_, facts(), tried_) &&
                state_.repeats.take(service_, call_.terms.sub_call);
     }
--- a/nutmegusher/routed/peer_exchange.cpp
+++ b/nutmegusher/routed/peer_exchange.cpp
@@ -51,7 +51,7 @@
 failed_call not_sent()
 {
     const refusal told{
-        call_reason::no_upstream, call_outcome::not_run, shortest_return};
+        call_reason::no_upstream, call_outcome::not_run, min_retry_after};
     return {told, false};
 }
 
@@ -247,7 +247,7 @@
         if (wire::certainly_not_processed(failure))
         {
             const refusal told{
-                call_reason::leaving, call_outcome::not_run, shortest_return};
+                call_reason::leaving, call_outcome::not_run, min_retry_after};
             return {told, false};
         }
         feedback_.broken = failure != timed_out && failure != cancelled;
--- a/nutmegusher/routed/peer_fields.cpp
+++ b/nutmegusher/routed/peer_fields.cpp
@@ -94,7 +94,7 @@
 std::string format_load(const upstream_load& load)
 {
     using std::chrono::microseconds;
-    const auto hold = std::chrono::duration_cast<microseconds>(load.hold);
+    const auto hold = std::chrono::duration_cast<microseconds>(load.slot_time);
     return std::to_string(load.running) + ' ' + std::to_string(load.waiting) +
            ' ' + std::to_string(load.slots) + ' ' +
            std::to_string(hold.count()) + ' ' +
@@ -113,7 +113,7 @@
         return std::nullopt;
     }
     load.errors = errors / level_scale;
-    load.hold = std::chrono::microseconds(hold);
+    load.slot_time = std::chrono::microseconds(hold);
     return load;
 }
 
--- a/nutmegusher/routed/peer_fields_test.cpp
+++ b/nutmegusher/routed/peer_fields_test.cpp
@@ -63,7 +63,7 @@
     EXPECT_EQ(got->load.running, 31U);
     EXPECT_EQ(got->load.waiting, 4U);
     EXPECT_EQ(got->load.slots, 29U);
-    EXPECT_EQ(got->load.hold, 22ms);
+    EXPECT_EQ(got->load.slot_time, 22ms);
     EXPECT_DOUBLE_EQ(got->load.errors, 0.25);
     ASSERT_EQ(got->shed.size(), 2U);
     EXPECT_EQ(got->shed[0].service, service_name("balances"));
--- a/nutmegusher/routed/upstream_side.cpp
+++ b/nutmegusher/routed/upstream_side.cpp
@@ -146,7 +146,7 @@
     node::crash_watch& crashes_;
     std::uint64_t digest_;
     time_point begun_;
-    work_in_progress::ticket ticket_;
+    in_flight_requests::ticket ticket_;
     bool ended_ = false;
 };
 
@@ -316,7 +316,7 @@
         {
             co_return not_run(call_reason::deadline, duration::zero());
         }
-        const auto judged = state_.process.crashes.judge(call_.terms.digest);
+        const auto judged = state_.process.crashes.assess(call_.terms.digest);
         if (judged.suspicion == crash_suspicion::quarantined)
         {
             co_return not_run(
@@ -371,7 +371,7 @@
             stable_hash(to.id, to.order.started), ran_for};
         crashes.on_upstream_ended(ended.upstream, to.id, to.service);
         state_.note_unreachable(to.id);
-        const bool is_suspected = crashes.judge(call_.terms.digest).ends > 0;
+        const bool is_suspected = crashes.assess(call_.terms.digest).ends > 0;
         co_return is_suspected ? std::optional(ended) : std::nullopt;
     }
 
