--- a/bench/policy/naive.cpp
+++ b/bench/policy/naive.cpp
@@ -18,7 +18,8 @@
 {
 }
 
-arrival naive_admission::arrive(const call_facts& call, time_point /*now*/)
+arrival_result
+naive_admission::arrive(const call_info& call, time_point /*now*/)
 {
     settled_.clear();
     if (running_.size() < limit_)
@@ -34,7 +35,7 @@
     return {refused{refusal_reason::overload, duration(0)}, settled_};
 }
 
-std::span<const settlement> naive_admission::finish(
+std::span<const queue_outcome> naive_admission::finish(
     ticket_id ticket, call_result /*result*/, time_point /*now*/)
 {
     settled_.clear();
@@ -48,14 +49,14 @@
     return settled_;
 }
 
-std::span<const settlement>
+std::span<const queue_outcome>
 naive_admission::cancel(ticket_id ticket, time_point now)
 {
     std::erase(queue_, ticket);
     return finish(ticket, call_result::cancelled, now);
 }
 
-std::span<const settlement> naive_admission::tick(time_point /*now*/)
+std::span<const queue_outcome> naive_admission::tick(time_point /*now*/)
 {
     settled_.clear();
     return settled_;
@@ -78,7 +79,7 @@
 }
 
 std::optional<upstream_handle> naive_router::choose(
-    const call_facts& /*call*/,
+    const call_info& /*call*/,
     std::span<const upstream_handle> /*tried*/,
     time_point /*now*/,
     random_engine& /*engine*/)
@@ -92,7 +93,7 @@
 }
 
 bool naive_router::takes_elsewhere(
-    const call_facts& /*call*/,
+    const call_info& /*call*/,
     std::span<const upstream_handle> /*tried*/,
     time_point /*now*/) const
 {
--- a/bench/policy/naive.hpp
+++ b/bench/policy/naive.hpp
@@ -21,11 +21,11 @@
     // Lets in `limit` calls; as many wait as there are `connections` left.
     naive_admission(std::size_t limit, std::size_t connections);
 
-    arrival arrive(const call_facts& call, time_point now);
-    std::span<const settlement>
+    arrival_result arrive(const call_info& call, time_point now);
+    std::span<const queue_outcome>
     finish(ticket_id ticket, call_result result, time_point now);
-    std::span<const settlement> cancel(ticket_id ticket, time_point now);
-    std::span<const settlement> tick(time_point now);
+    std::span<const queue_outcome> cancel(ticket_id ticket, time_point now);
+    std::span<const queue_outcome> tick(time_point now);
     void sub_call_started(ticket_id, time_point)
     {
     }
@@ -40,7 +40,7 @@
     std::size_t most_waiting_;
     std::unordered_set<ticket_id> running_;
     std::deque<ticket_id> queue_;
-    std::vector<settlement> settled_;
+    std::vector<queue_outcome> settled_;
 };
 
 class naive_router
@@ -48,12 +48,12 @@
 public:
     void update(std::span<const candidate> candidates, time_point now);
     std::optional<upstream_handle> choose(
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         time_point now,
         random_engine& engine);
     [[nodiscard]] bool takes_elsewhere(
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
     void on_start(upstream_handle, bool, time_point)
--- a/bench/policy/policy_bench.cpp
+++ b/bench/policy/policy_bench.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-call_facts make_call(random_engine& engine, time_point now, std::uint64_t id)
+call_info make_call(random_engine& engine, time_point now, std::uint64_t id)
 {
-    call_facts call;
+    call_info call;
     call.ticket = ticket_id(id);
     call.rank = static_cast<std::uint8_t>(uniform_below(engine, 10));
     call.customer = uniform_below(engine, 200);
@@ -34,7 +34,7 @@
     manual_clock clock;
     std::deque<ticket_id> running;
     std::uint64_t id = 0;
-    const auto note = [&running](const settlement& each)
+    const auto note = [&running](const queue_outcome& each)
     {
         if (std::holds_alternative<admitted>(each.verdict))
         {
@@ -43,13 +43,13 @@
     };
     const auto arrive = [&]
     {
-        const call_facts call = make_call(engine, clock.now(), ++id);
-        const arrival at = admission.arrive(call, clock.now());
+        const call_info call = make_call(engine, clock.now(), ++id);
+        const arrival_result at = admission.arrive(call, clock.now());
         if (std::holds_alternative<admitted>(at.verdict))
         {
             running.push_back(call.ticket);
         }
-        std::for_each(at.others.begin(), at.others.end(), note);
+        std::for_each(at.outcomes.begin(), at.outcomes.end(), note);
     };
     const auto in_flight = static_cast<std::size_t>(state.range(0));
     for (std::size_t count = 0; count < in_flight; ++count)
@@ -92,7 +92,7 @@
     manual_clock clock;
     route.update(candidates, clock.now());
     random_engine engine(1);
-    const call_facts call = make_call(engine, clock.now(), 1);
+    const call_info call = make_call(engine, clock.now(), 1);
     for (auto _ : state)
     {
         const auto to = route.choose(call, {}, clock.now(), engine);
@@ -113,7 +113,7 @@
     std::uint64_t id = 0;
     for (auto _ : state)
     {
-        const call_facts call = make_call(engine, clock.now(), ++id);
+        const call_info call = make_call(engine, clock.now(), ++id);
         benchmark::DoNotOptimize(gate.check(call, clock.now()));
         gate.on_level(call, level, clock.now());
         clock.advance(std::chrono::microseconds(100));
--- a/bench/policy/replay.hpp
+++ b/bench/policy/replay.hpp
@@ -53,8 +53,8 @@
     void start_try(serial call);
     void give_up_try(serial call, serial ticket);
     void arrive(serial call, serial ticket);
-    void apply(std::size_t at, std::span<const settlement> settled);
-    void settle_one(std::size_t at, const settlement& one);
+    void apply(std::size_t at, std::span<const queue_outcome> settled);
+    void settle_one(std::size_t at, const queue_outcome& one);
     void reply(hop_call& call, const try_answer& answer);
     void hear(serial call, serial ticket, const try_answer& answer);
     void note_health(const hop_call& call, const try_answer& answer);
@@ -75,7 +75,7 @@
 
     [[nodiscard]] duration work_time(const hop_call& call);
     [[nodiscard]] duration distance(std::size_t from, std::size_t to) const;
-    [[nodiscard]] call_facts facts_of(const hop_call& call) const;
+    [[nodiscard]] call_info facts_of(const hop_call& call) const;
     [[nodiscard]] hop_call* find(serial call, serial ticket);
     [[nodiscard]] const trace_class& class_of(const client_try& client) const;
     [[nodiscard]] const trace_class& class_of(const hop_call& call) const;
--- a/bench/policy/replay_clients.hpp
+++ b/bench/policy/replay_clients.hpp
@@ -171,7 +171,7 @@
                 client,
                 {.how = try_failure::overload,
                  .certainly_not_run = true,
-                 .come_back = spread(refusal->come_back_after, engine_)});
+                 .come_back = spread(refusal->retry_after, engine_)});
             return;
         }
     }
--- a/bench/policy/replay_hops.hpp
+++ b/bench/policy/replay_hops.hpp
@@ -69,12 +69,12 @@
 }
 
 template <class Decisions>
-call_facts replay<Decisions>::facts_of(const hop_call& call) const
+call_info replay<Decisions>::facts_of(const hop_call& call) const
 {
     const client_try& client = clients_.at(call.client);
     const client_request& request = requests_.at(client.request);
     const trace_class& one = class_of(client);
-    call_facts facts;
+    call_info facts;
     facts.ticket = ticket_id(call.ticket);
     facts.rank = one.rank;
     facts.customer = stable_hash("customer", request.customer);
@@ -146,7 +146,7 @@
     auto& route = hosts_[one.caller].routers[service];
     one.ticket = ++last_;
     one.place = call_place::on_the_way;
-    const call_facts facts = facts_of(one);
+    const call_info facts = facts_of(one);
     const auto chosen = route.choose(facts, one.tried, events_.now(), engine_);
     if (!chosen)
     {
@@ -193,7 +193,7 @@
     {
         return;
     }
-    const call_facts facts = facts_of(*one);
+    const call_info facts = facts_of(*one);
     auto& route = hosts_[one->caller].routers[hosts_[one->upstream].service];
     if (!route.worth_moving(facts, one->tried, events_.now()))
     {
@@ -244,7 +244,7 @@
 void replay<Decisions>::note_health(
     const hop_call& call, const try_answer& answer)
 {
-    const call_facts facts = facts_of(call);
+    const call_info facts = facts_of(call);
     const time_point now = events_.now();
     host& caller = hosts_[call.caller];
     auto& route = caller.routers[hosts_[call.upstream].service];
@@ -288,7 +288,7 @@
         end_call(call, answer);
         return;
     }
-    const call_facts facts = facts_of(*one);
+    const call_info facts = facts_of(*one);
     auto& route = hosts_[one->caller].routers[hosts_[one->upstream].service];
     failed_try failed;
     failed.how = answer.how;
--- a/bench/policy/replay_types.hpp
+++ b/bench/policy/replay_types.hpp
@@ -106,7 +106,7 @@
     // Of the daemon:
     std::vector<typename Decisions::route> routers;
     entry_gate gate;
-    chain_levels levels;
+    sub_call_levels levels;
     std::vector<retry_budget> budgets;
     repeated_keys keys;
 };
--- a/bench/policy/replay_upstreams.hpp
+++ b/bench/policy/replay_upstreams.hpp
@@ -18,11 +18,11 @@
     const std::size_t at = one->upstream;
     call_of_ticket_[ticket] = call;
     one->place = call_place::waiting;
-    const arrival verdict =
+    const arrival_result verdict =
         hosts_[at].admission.arrive(facts_of(*one), events_.now());
     // Handling the others asks the admission again, and ends the span.
-    const std::vector<settlement> others(
-        verdict.others.begin(), verdict.others.end());
+    const std::vector<queue_outcome> others(
+        verdict.outcomes.begin(), verdict.outcomes.end());
     if (std::holds_alternative<admitted>(verdict.verdict))
     {
         settle_one(at, {ticket_id(ticket), admitted{}});
@@ -36,10 +36,10 @@
 
 template <class Decisions>
 void replay<Decisions>::apply(
-    std::size_t at, std::span<const settlement> settled)
+    std::size_t at, std::span<const queue_outcome> settled)
 {
-    const std::vector<settlement> all(settled.begin(), settled.end());
-    for (const settlement& one : all)
+    const std::vector<queue_outcome> all(settled.begin(), settled.end());
+    for (const queue_outcome& one : all)
     {
         settle_one(at, one);
     }
@@ -47,7 +47,7 @@
 }
 
 template <class Decisions>
-void replay<Decisions>::settle_one(std::size_t at, const settlement& one)
+void replay<Decisions>::settle_one(std::size_t at, const queue_outcome& one)
 {
     const auto ticket = call_of_ticket_.find(one.ticket.value());
     if (ticket == call_of_ticket_.end())
@@ -61,7 +61,7 @@
             call,
             {.how = try_failure::overload,
              .certainly_not_run = true,
-             .come_back = refusal->come_back_after});
+             .come_back = refusal->retry_after});
         return;
     }
     hand_over(at, call);
--- a/nutmegusher/node/admission_gate.cpp
+++ b/nutmegusher/node/admission_gate.cpp
@@ -30,7 +30,7 @@
     return ticket_id(++last_ticket_);
 }
 
-asio::awaitable<gate_verdict> admission_gate::enter(call_facts call)
+asio::awaitable<gate_verdict> admission_gate::enter(call_info call)
 {
     if (naive_)
     {
@@ -43,7 +43,7 @@
         const auto now = host_clock().now();
         note_time(now);
         const auto at = controller_.arrive(call, now);
-        waiting_.deliver(at.others);
+        waiting_.deliver(at.outcomes);
         if (const auto* no = std::get_if<refused>(&at.verdict))
         {
             co_return *no;
@@ -70,12 +70,12 @@
 {
     if (ticked_at_ && now - *ticked_at_ > longest_tick_gap)
     {
-        controller_.paused(now);
+        controller_.on_pause(now);
         ticked_at_ = now;
     }
 }
 
-void admission_gate::note_running(const call_facts& call)
+void admission_gate::note_running(const call_info& call)
 {
     running_[call.request] = {call.ticket, false};
 }
@@ -109,7 +109,7 @@
     return found != running_.end() && found->second.refused_deeper;
 }
 
-void admission_gate::finish(const call_facts& call, call_result result)
+void admission_gate::finish(const call_info& call, call_result result)
 {
     if (naive_)
     {
--- a/nutmegusher/node/admission_gate.hpp
+++ b/nutmegusher/node/admission_gate.hpp
@@ -35,10 +35,10 @@
 
     // Suspends until the call is let in or refused; resumes on the executor
     // that it was called on.
-    asio::awaitable<gate_verdict> enter(call_facts call);
+    asio::awaitable<gate_verdict> enter(call_info call);
 
     // Requires: `enter` gave `admitted` for `call`.
-    void finish(const call_facts& call, call_result result);
+    void finish(const call_info& call, call_result result);
 
     // The upstream makes a sub-call for the request that runs here, and has its
     // answer. Requests that don't run here change nothing.
@@ -67,7 +67,7 @@
         bool refused_deeper = false;
     };
 
-    void note_running(const call_facts& call);
+    void note_running(const call_info& call);
     void note_time(time_point now);
 
     const bool naive_;
--- a/nutmegusher/node/entry_call.cpp
+++ b/nutmegusher/node/entry_call.cpp
@@ -8,9 +8,9 @@
 const class_name no_class("(none)");
 } // namespace
 
-call_facts entry_call::facts() const
+call_info entry_call::facts() const
 {
-    call_facts facts;
+    call_info facts;
     facts.rank = rank;
     facts.customer = stable_hash(customer.str());
     facts.work_class = work_class->hash;
--- a/nutmegusher/node/entry_call.hpp
+++ b/nutmegusher/node/entry_call.hpp
@@ -59,7 +59,7 @@
         return deadline - host_clock().now();
     }
 
-    [[nodiscard]] call_facts facts() const;
+    [[nodiscard]] call_info facts() const;
 
     // Answers with a refusal; does nothing where an answer was begun.
     asio::awaitable<void> refuse(refusal refused);
--- a/nutmegusher/node/entry_chain.cpp
+++ b/nutmegusher/node/entry_chain.cpp
@@ -275,7 +275,7 @@
                         ? call_reason::fair_share
                         : call_reason::overload,
                     call_outcome::not_run,
-                    no->come_back_after};
+                    no->retry_after};
                 co_await call.refuse(refused);
                 co_return;
             }
--- a/nutmegusher/node/pressure_controller.cpp
+++ b/nutmegusher/node/pressure_controller.cpp
@@ -4,7 +4,7 @@
 {
 
 std::optional<refused>
-pressure_controller::check(const call_facts& call, random_engine& engine)
+pressure_controller::check(const call_info& call, random_engine& engine)
 {
     if (naive_)
     {
@@ -15,13 +15,13 @@
     auto no = shard.gate.check(call, host_clock().now());
     if (no)
     {
-        no->come_back_after = spread(no->come_back_after, engine);
+        no->retry_after = spread(no->retry_after, engine);
     }
     return no;
 }
 
 void pressure_controller::on_level(
-    const call_facts& call, const admission_level& level)
+    const call_info& call, const admission_level& level)
 {
     auto& shard = shard_of(call.work_class);
     const std::scoped_lock lock(shard.mutex);
--- a/nutmegusher/node/pressure_controller.hpp
+++ b/nutmegusher/node/pressure_controller.hpp
@@ -25,10 +25,10 @@
     }
 
     // A refusal at the entry, its time to come back already spread.
-    std::optional<refused> check(const call_facts& call, random_engine& engine);
+    std::optional<refused> check(const call_info& call, random_engine& engine);
 
     // What lay ahead of a request of the class that was answered.
-    void on_level(const call_facts& call, const admission_level& level);
+    void on_level(const call_info& call, const admission_level& level);
 
     // What lay ahead of a sub-call made for a request of `root_class`.
     void
@@ -51,7 +51,7 @@
     {
         mutable std::mutex mutex;
         entry_gate gate;
-        chain_levels levels;
+        sub_call_levels levels;
         repeated_keys keys;
         std::unordered_map<std::uint64_t, retry_budget> budgets;
     };
--- a/nutmegusher/node/route_controller.cpp
+++ b/nutmegusher/node/route_controller.cpp
@@ -153,7 +153,7 @@
 
 std::optional<route> route_controller::start(
     const service_name& service,
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     random_engine& engine)
 {
@@ -255,7 +255,7 @@
 
 bool route_controller::worth_moving(
     const service_name& service,
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried) const
 {
     const auto routes = find(service);
@@ -269,7 +269,7 @@
 
 bool route_controller::takes_elsewhere(
     const service_name& service,
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried) const
 {
     const auto routes = find(service);
--- a/nutmegusher/node/route_controller.hpp
+++ b/nutmegusher/node/route_controller.hpp
@@ -70,7 +70,7 @@
     // Chooses and counts the try as started; `end` must follow.
     [[nodiscard]] std::optional<route> start(
         const service_name& service,
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         random_engine& engine);
 
@@ -103,13 +103,13 @@
     // Whether it is, now.
     [[nodiscard]] bool worth_moving(
         const service_name& service,
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried) const;
 
     // Whether another upstream would take the call now.
     [[nodiscard]] bool takes_elsewhere(
         const service_name& service,
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried) const;
 
     [[nodiscard]] boost::json::value dump() const;
--- a/nutmegusher/node/upstream_chain.cpp
+++ b/nutmegusher/node/upstream_chain.cpp
@@ -92,9 +92,7 @@
         if (const auto* no = std::get_if<refused>(&verdict))
         {
             const refusal refused{
-                to_reason(no->reason),
-                call_outcome::not_run,
-                no->come_back_after};
+                to_reason(no->reason), call_outcome::not_run, no->retry_after};
             co_await call.refuse(refused);
             co_return;
         }
@@ -119,7 +117,7 @@
     class slot
     {
     public:
-        slot(peer_call& call, const call_facts& facts)
+        slot(peer_call& call, const call_info& facts)
             : call_(call)
             , facts_(facts)
             , deadline_(call.here.context)
@@ -159,15 +157,15 @@
         }
 
         peer_call& call_;
-        call_facts facts_;
+        call_info facts_;
         asio::steady_timer deadline_;
         std::shared_ptr<slot*> alive_ = std::make_shared<slot*>(this);
         bool released_ = false;
     };
 
-    static call_facts facts_of(const peer_call& call, ticket_id ticket)
+    static call_info facts_of(const peer_call& call, ticket_id ticket)
     {
-        call_facts facts;
+        call_info facts;
         facts.ticket = ticket;
         facts.rank = call.terms.rank;
         facts.customer = stable_hash(call.terms.customer.str());
--- a/nutmegusher/node/upstream_filter.cpp
+++ b/nutmegusher/node/upstream_filter.cpp
@@ -215,7 +215,7 @@
                              : call_reason::overload,
             vouched ? call_outcome::not_run : call_outcome::unknown,
             std::chrono::milliseconds(
-                call_.here.shared.admission.level().come_back_after)};
+                call_.here.shared.admission.level().retry_after)};
         co_await call_.refuse(refused);
         co_await drain();
     }
--- a/nutmegusher/node/waiting_calls.cpp
+++ b/nutmegusher/node/waiting_calls.cpp
@@ -63,7 +63,7 @@
     co_return mine->verdict;
 }
 
-void waiting_calls::deliver(std::span<const settlement> settled)
+void waiting_calls::deliver(std::span<const queue_outcome> settled)
 {
     for (const auto& each : settled)
     {
--- a/nutmegusher/node/waiting_calls.hpp
+++ b/nutmegusher/node/waiting_calls.hpp
@@ -42,7 +42,7 @@
     wait(std::shared_ptr<waiter> mine, time_point until = time_point::max());
 
     // Resumes the calls that were decided on.
-    void deliver(std::span<const settlement> settled);
+    void deliver(std::span<const queue_outcome> settled);
 
     // Resumes a call with `gone`; false where it doesn't wait here.
     bool withdraw(ticket_id ticket);
--- a/nutmegusher/policy/admission_controller.cpp
+++ b/nutmegusher/policy/admission_controller.cpp
@@ -37,53 +37,55 @@
     return bulk ? bulk_lane_ : short_lane_;
 }
 
-arrival admission_controller::arrive(const call_facts& call, time_point now)
+arrival_result
+admission_controller::arrive(const call_info& call, time_point now)
 {
-    settled_.clear();
+    outcomes_.clear();
     if (leaving_)
     {
-        return {refused{refusal_reason::leaving, duration(0)}, settled_};
+        return {refused{refusal_reason::leaving, duration(0)}, outcomes_};
     }
-    decision verdict = lane_for(call.bulk).arrive(call, now, engine_, settled_);
-    settle(now);
+    decision verdict =
+        lane_for(call.bulk).arrive(call, now, engine_, outcomes_);
+    process_queue(now);
     if (std::holds_alternative<queued>(verdict))
     {
-        verdict = take_own(call.ticket).value_or(verdict);
+        verdict = take_outcome_of(call.ticket).value_or(verdict);
     }
-    return {verdict, settled_};
+    return {verdict, outcomes_};
 }
 
-std::optional<decision> admission_controller::take_own(ticket_id ticket)
+std::optional<decision> admission_controller::take_outcome_of(ticket_id ticket)
 {
     const auto own = std::find_if(
-        settled_.begin(),
-        settled_.end(),
-        [ticket](const settlement& each)
+        outcomes_.begin(),
+        outcomes_.end(),
+        [ticket](const queue_outcome& each)
         {
             return each.ticket == ticket;
         });
-    if (own == settled_.end())
+    if (own == outcomes_.end())
     {
         return std::nullopt;
     }
     const decision verdict = to_decision(own->verdict);
-    settled_.erase(own);
+    outcomes_.erase(own);
     return verdict;
 }
 
-std::span<const settlement> admission_controller::finish(
+std::span<const queue_outcome> admission_controller::finish(
     ticket_id ticket, call_result result, time_point now)
 {
-    settled_.clear();
-    short_lane_.set_others_hold_slots(
+    outcomes_.clear();
+    short_lane_.set_other_lane_dominates(
         bulk_lane_.in_flight() > short_lane_.in_flight());
     if (!short_lane_.finish(ticket, result, now))
     {
         bulk_lane_.finish(ticket, result, now);
     }
     balance_lanes(now);
-    settle(now);
-    return settled_;
+    process_queue(now);
+    return outcomes_;
 }
 
 void admission_controller::sub_call_started(ticket_id ticket, time_point now)
@@ -102,40 +104,40 @@
     }
 }
 
-std::span<const settlement>
+std::span<const queue_outcome>
 admission_controller::cancel(ticket_id ticket, time_point now)
 {
     if (!short_lane_.cancel(ticket) && !bulk_lane_.cancel(ticket))
     {
         return finish(ticket, call_result::cancelled, now);
     }
-    settled_.clear();
-    settle(now);
-    return settled_;
+    outcomes_.clear();
+    process_queue(now);
+    return outcomes_;
 }
 
-std::span<const settlement> admission_controller::tick(time_point now)
+std::span<const queue_outcome> admission_controller::tick(time_point now)
 {
-    settled_.clear();
+    outcomes_.clear();
     short_lane_.tick(now);
     bulk_lane_.tick(now);
     balance_lanes(now);
-    settle(now);
-    return settled_;
+    process_queue(now);
+    return outcomes_;
 }
 
 void admission_controller::balance_lanes(time_point now)
 {
-    if (short_lane_.take_strained())
+    if (short_lane_.take_contended())
     {
         bulk_lane_.yield(now);
     }
 }
 
-void admission_controller::settle(time_point now)
+void admission_controller::process_queue(time_point now)
 {
-    short_lane_.settle(no_cap, now, engine_, settled_);
-    bulk_lane_.settle(bulk_cap(), now, engine_, settled_);
+    short_lane_.process_queue(no_cap, now, engine_, outcomes_);
+    bulk_lane_.process_queue(bulk_cap(), now, engine_, outcomes_);
 }
 
 std::size_t admission_controller::bulk_cap() const
@@ -167,20 +169,21 @@
     duration wait{0};
     if (level.short_lane.rank < rank_count)
     {
-        wait = short_lane_.come_back(level.short_lane.rank, now);
+        wait = short_lane_.retry_after(level.short_lane.rank, now);
     }
     if (level.bulk_lane.rank < rank_count)
     {
-        wait = std::max(wait, bulk_lane_.come_back(level.bulk_lane.rank, now));
+        wait =
+            std::max(wait, bulk_lane_.retry_after(level.bulk_lane.rank, now));
     }
-    level.come_back_after = std::chrono::ceil<std::chrono::milliseconds>(wait);
+    level.retry_after = std::chrono::ceil<std::chrono::milliseconds>(wait);
     return level;
 }
 
-void admission_controller::paused(time_point now)
+void admission_controller::on_pause(time_point now)
 {
-    short_lane_.paused(now);
-    bulk_lane_.paused(now);
+    short_lane_.on_pause(now);
+    bulk_lane_.on_pause(now);
 }
 
 void admission_controller::begin_warm_up(time_point now)
@@ -189,17 +192,18 @@
     bulk_lane_.begin_warm_up(now);
 }
 
-std::span<const settlement>
+std::span<const queue_outcome>
 admission_controller::set_leaving(bool leaving, time_point now)
 {
-    settled_.clear();
+    outcomes_.clear();
     leaving_ = leaving;
     if (leaving)
     {
-        short_lane_.refuse_all(refusal_reason::leaving, now, engine_, settled_);
-        bulk_lane_.refuse_all(refusal_reason::leaving, now, engine_, settled_);
+        short_lane_.refuse_all(
+            refusal_reason::leaving, now, engine_, outcomes_);
+        bulk_lane_.refuse_all(refusal_reason::leaving, now, engine_, outcomes_);
     }
-    return settled_;
+    return outcomes_;
 }
 
 admission_state admission_controller::state() const
--- a/nutmegusher/policy/admission_controller.hpp
+++ b/nutmegusher/policy/admission_controller.hpp
@@ -1,10 +1,10 @@
 // Admission at one upstream: every call of the daemon beside it passes here.
 //
 //     admission_controller admission(seed);
-//     arrival at = admission.arrive(facts, now);
+//     arrival_result at = admission.arrive(info, now);
 //     // `at.verdict`: run it, let it wait, or answer the refusal.
-//     // `at.others`: calls that waited and are now admitted or refused.
-//     for (const settlement& each : admission.finish(ticket, result, now))
+//     // `at.outcomes`: calls that waited and are now admitted or refused.
+//     for (const queue_outcome& each : admission.finish(ticket, result, now))
 //         resume_or_answer(each);
 //     wake_at(admission.next_event());   // then call `tick(now)`
 //
@@ -14,7 +14,7 @@
 // turns. Without it all calls wait in one line until their callers are gone,
 // and the upstream is busy with answers that nobody takes.
 //
-// Long transfers (`call_facts::bulk`) and short calls have a lane each, with
+// Long transfers (`call_info::bulk`) and short calls have a lane each, with
 // a limit and a queue of its own: a download holds a slot for seconds and
 // would teach the short calls' limit nothing. Where short calls get slower
 // while transfers hold most of the slots, the transfers' limit falls and not
@@ -37,11 +37,11 @@
 namespace nutmegusher
 {
 
-// What `arrive` decided. `others` is valid until the next call.
-struct arrival
+// What `arrive` decided. `outcomes` is valid until the next call.
+struct arrival_result
 {
     decision verdict;
-    std::span<const settlement> others;
+    std::span<const queue_outcome> outcomes;
 };
 
 // For the state dump.
@@ -67,11 +67,11 @@
 
     // Decides on a new call. Requires: its ticket is neither waiting nor
     // running here.
-    arrival arrive(const call_facts& call, time_point now);
+    arrival_result arrive(const call_info& call, time_point now);
 
     // An admitted call ended. Unknown tickets change nothing. The span is
     // valid until the next call, as with the other functions.
-    std::span<const settlement>
+    std::span<const queue_outcome>
     finish(ticket_id ticket, call_result result, time_point now);
 
     // The upstream made a sub-call for this call, and got its answer. The time
@@ -82,10 +82,10 @@
 
     // The caller went away. A waiting call is dropped (it gets no settlement
     // of its own), a running one ends as `call_result::cancelled`.
-    std::span<const settlement> cancel(ticket_id ticket, time_point now);
+    std::span<const queue_outcome> cancel(ticket_id ticket, time_point now);
 
     // Time has passed: refuses what waited too long, notices a stall.
-    std::span<const settlement> tick(time_point now);
+    std::span<const queue_outcome> tick(time_point now);
 
     // When `tick` has something to do next.
     [[nodiscard]] std::optional<time_point> next_event() const;
@@ -96,29 +96,29 @@
     // This process didn't run for a while, until now: it was stopped, or
     // starved. What the calls that run take says nothing of the upstream then.
     // Tell it before the ends and arrivals that were waiting.
-    void paused(time_point now);
+    void on_pause(time_point now);
 
     // The upstream starts, or has started again.
     void begin_warm_up(time_point now);
 
     // From now on all new calls and all waiting ones are refused with
     // `leaving`; running ones go on. False: takes work again.
-    std::span<const settlement> set_leaving(bool leaving, time_point now);
+    std::span<const queue_outcome> set_leaving(bool leaving, time_point now);
 
     [[nodiscard]] admission_state state() const;
 
 private:
     internal::admission_lane& lane_for(bool bulk);
     [[nodiscard]] std::size_t bulk_cap() const;
-    void settle(time_point now);
+    void process_queue(time_point now);
     void balance_lanes(time_point now);
-    std::optional<decision> take_own(ticket_id ticket);
+    std::optional<decision> take_outcome_of(ticket_id ticket);
 
     internal::admission_lane short_lane_;
     internal::admission_lane bulk_lane_;
     bool leaving_ = false;
     random_engine engine_;
-    std::vector<settlement> settled_;
+    std::vector<queue_outcome> outcomes_;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/admission_controller_test.cpp
+++ b/nutmegusher/policy/admission_controller_test.cpp
@@ -12,15 +12,15 @@
 class admission : public testing::Test
 {
 protected:
-    call_facts call(std::uint8_t rank, std::uint64_t customer = 1)
+    call_info call(std::uint8_t rank, std::uint64_t customer = 1)
     {
-        call_facts facts;
-        facts.ticket = ticket_id(++last_ticket);
-        facts.rank = rank;
-        facts.customer = customer;
-        facts.work_class = rank;
-        facts.deadline = clock.now() + milliseconds(500);
-        return facts;
+        call_info info;
+        info.ticket = ticket_id(++last_ticket);
+        info.rank = rank;
+        info.customer = customer;
+        info.work_class = rank;
+        info.deadline = clock.now() + milliseconds(500);
+        return info;
     }
 
     // Takes every slot with calls of the worst rank.
@@ -28,7 +28,7 @@
     {
         for (std::size_t slot = 0; slot < concurrency_limit::initial; ++slot)
         {
-            const arrival at = controller.arrive(call(9), clock.now());
+            const arrival_result at = controller.arrive(call(9), clock.now());
             ASSERT_TRUE(std::holds_alternative<admitted>(at.verdict));
         }
     }
@@ -41,7 +41,7 @@
 TEST_F(admission, lets_in_up_to_the_limit_and_queues_the_rest)
 {
     fill();
-    const arrival at = controller.arrive(call(9), clock.now());
+    const arrival_result at = controller.arrive(call(9), clock.now());
     EXPECT_TRUE(std::holds_alternative<queued>(at.verdict));
 }
 
@@ -49,14 +49,14 @@
 {
     fill();
     controller.arrive(call(5), clock.now());
-    const call_facts payout = call(0);
+    const call_info payout = call(0);
     controller.arrive(payout, clock.now());
     clock.advance(milliseconds(10));
-    const auto settled =
+    const auto outcomes =
         controller.finish(ticket_id(1), call_result::ok, clock.now());
-    ASSERT_FALSE(settled.empty());
-    EXPECT_EQ(settled[0].ticket, payout.ticket);
-    EXPECT_TRUE(std::holds_alternative<admitted>(settled[0].verdict));
+    ASSERT_FALSE(outcomes.empty());
+    EXPECT_EQ(outcomes[0].ticket, payout.ticket);
+    EXPECT_TRUE(std::holds_alternative<admitted>(outcomes[0].verdict));
 }
 
 TEST_F(admission, refuses_what_waited_too_long_at_once)
@@ -65,20 +65,20 @@
     controller.arrive(call(5), clock.now());
     const auto wake = controller.next_event();
     ASSERT_TRUE(wake.has_value());
-    const auto settled = controller.tick(*wake);
-    ASSERT_EQ(settled.size(), 1U);
-    EXPECT_TRUE(std::holds_alternative<refused>(settled[0].verdict));
+    const auto outcomes = controller.tick(*wake);
+    ASSERT_EQ(outcomes.size(), 1U);
+    EXPECT_TRUE(std::holds_alternative<refused>(outcomes[0].verdict));
 }
 
 TEST_F(admission, refuses_all_that_waits_when_leaving)
 {
     fill();
     controller.arrive(call(0), clock.now());
-    const auto settled = controller.set_leaving(true, clock.now());
-    ASSERT_EQ(settled.size(), 1U);
+    const auto outcomes = controller.set_leaving(true, clock.now());
+    ASSERT_EQ(outcomes.size(), 1U);
     EXPECT_EQ(
-        std::get<refused>(settled[0].verdict).reason, refusal_reason::leaving);
-    const arrival at = controller.arrive(call(0), clock.now());
+        std::get<refused>(outcomes[0].verdict).reason, refusal_reason::leaving);
+    const arrival_result at = controller.arrive(call(0), clock.now());
     EXPECT_EQ(std::get<refused>(at.verdict).reason, refusal_reason::leaving);
 }
 
--- a/nutmegusher/policy/admission_fuzz_test.cpp
+++ b/nutmegusher/policy/admission_fuzz_test.cpp
@@ -18,7 +18,7 @@
 // What the oracle knows of a ticket that has no answer yet.
 struct open_ticket
 {
-    call_facts facts;
+    call_info info;
     bool running = false;
 };
 
@@ -28,7 +28,7 @@
 public:
     void arrive()
     {
-        call_facts call;
+        call_info call;
         call.ticket = ticket_id(++last_ticket_);
         call.rank = *rc::gen::inRange<std::uint8_t>(0, 10);
         call.customer = *rc::gen::inRange<std::uint64_t>(0, 4);
@@ -37,10 +37,10 @@
         call.sub_call = *rc::gen::inRange(0, 2) == 0;
         call.deadline =
             now_ + std::chrono::milliseconds(*rc::gen::inRange(-5, 200));
-        const arrival at = controller_.arrive(call, now_);
+        const arrival_result at = controller_.arrive(call, now_);
         open_.emplace(call.ticket, open_ticket{call, false});
-        const std::vector<settlement> others(
-            at.others.begin(), at.others.end());
+        const std::vector<queue_outcome> others(
+            at.outcomes.begin(), at.outcomes.end());
         if (std::holds_alternative<admitted>(at.verdict))
         {
             admit(call.ticket);
@@ -150,48 +150,48 @@
 
     tickets::iterator any(bool running)
     {
-        std::vector<tickets::iterator> those;
+        std::vector<tickets::iterator> matching;
         for (auto each = open_.begin(); each != open_.end(); ++each)
         {
             if (each->second.running == running)
             {
-                those.push_back(each);
+                matching.push_back(each);
             }
         }
-        if (those.empty())
+        if (matching.empty())
         {
             return open_.end();
         }
-        return those[*rc::gen::inRange<std::size_t>(0, those.size())];
+        return matching[*rc::gen::inRange<std::size_t>(0, matching.size())];
     }
 
     void admit(ticket_id ticket)
     {
         open_ticket& one = open_.at(ticket);
         RC_ASSERT(!one.running);
-        RC_ASSERT(one.facts.deadline > now_);
+        RC_ASSERT(one.info.deadline > now_);
         // Strict rank: nothing better waits in its lane.
         for (const auto& [other, waits] : open_)
         {
-            const bool same_lane = waits.facts.bulk == one.facts.bulk;
-            const bool better = waits.facts.rank < one.facts.rank;
-            const bool pending = !waits.running && !settling_.contains(other);
+            const bool same_lane = waits.info.bulk == one.info.bulk;
+            const bool better = waits.info.rank < one.info.rank;
+            const bool pending = !waits.running && !unapplied_.contains(other);
             RC_ASSERT(!(same_lane && better && pending && other != ticket));
         }
         one.running = true;
     }
 
-    void check(std::span<const settlement> settled)
+    void check(std::span<const queue_outcome> outcomes)
     {
-        settling_.clear();
-        for (const settlement& each : settled)
+        unapplied_.clear();
+        for (const queue_outcome& each : outcomes)
         {
-            RC_ASSERT(settling_.insert(each.ticket).second);
+            RC_ASSERT(unapplied_.insert(each.ticket).second);
             RC_ASSERT(open_.contains(each.ticket));
         }
-        for (const settlement& each : settled)
+        for (const queue_outcome& each : outcomes)
         {
-            settling_.erase(each.ticket);
+            unapplied_.erase(each.ticket);
             if (std::holds_alternative<admitted>(each.verdict))
             {
                 admit(each.ticket);
@@ -207,7 +207,7 @@
     admission_controller controller_{7};
     time_point now_ = manual_clock().now();
     tickets open_;
-    std::set<ticket_id> settling_;
+    std::set<ticket_id> unapplied_;
     std::uint64_t last_ticket_ = 0;
 };
 
--- a/nutmegusher/policy/admission_lane.cpp
+++ b/nutmegusher/policy/admission_lane.cpp
@@ -13,51 +13,51 @@
 // A bound on memory and on the cost of a surge, not on the wait, which the
 // deadlines bound: eight calls a slot wait at most.
 constexpr std::size_t waiting_per_slot = 8;
-constexpr std::size_t least_waiting = 64;
+constexpr std::size_t min_queue_size = 64;
 
 // A call may spend this share of its spare time in one queue. The rest is for
 // a slower run than expected, for the hops below and for another try.
-constexpr int wait_divisor = 2;
+constexpr int spare_time_divisor = 2;
 
 // Better ranks may take all that drains; a wait must stay finite.
-constexpr double least_spare_share = 0.05;
+constexpr double min_available_share = 0.05;
 
 // Follows a change of speed within about sixteen calls.
 constexpr double slot_time_weight = 1.0 / 16;
 
 // A call counts as run without load while the lane is at most half full.
-constexpr std::size_t calm_divisor = 2;
+constexpr std::size_t low_load_divisor = 2;
 
 // Nor longer than this many runs of its own: a queue is there to take up a
 // burst; one that stands holds the slots of all the services above it.
-constexpr int most_wait_in_runs = 4;
+constexpr int max_wait_in_runs = 4;
 // A burst of a few scheduler ticks is taken up whatever the run time.
-constexpr duration least_patience = std::chrono::milliseconds(20);
+constexpr duration min_wait_limit = std::chrono::milliseconds(20);
 // What waits when a surge ends has to be gone within half of the second in
 // which service has to be back.
-constexpr duration most_patience = std::chrono::milliseconds(500);
+constexpr duration max_wait_limit = std::chrono::milliseconds(500);
 
 // But as long as what was spent on the request already: refusing it throws
 // that away.
-duration spent_on(const call_facts& call, time_point now)
+duration time_spent_on(const call_info& call, time_point now)
 {
     return std::max(duration(0), call.target - (call.deadline - now));
 }
 
 // `run`: the upstream's own time without load. What the call takes now would
 // grow with the queues below, and this queue with it.
-duration
-most_wait(const call_facts& call, duration run, duration spare, time_point now)
+duration wait_limit_of(
+    const call_info& call, duration run, duration spare, time_point now)
 {
     const duration by_runs = std::clamp<duration>(
-        run * most_wait_in_runs, least_patience, most_patience);
-    const duration short_queue = std::max(by_runs, spent_on(call, now));
-    const duration by_deadline = spare / wait_divisor;
+        run * max_wait_in_runs, min_wait_limit, max_wait_limit);
+    const duration by_time_spent = std::max(by_runs, time_spent_on(call, now));
+    const duration by_deadline = spare / spare_time_divisor;
     // The first rank is refused last: it waits for as long as that can help.
     const bool refused_last = call.rank == 0;
     return refused_last || run == duration(0)
                ? by_deadline
-               : std::min(short_queue, by_deadline);
+               : std::min(by_time_spent, by_deadline);
 }
 
 double to_seconds(duration time)
@@ -74,16 +74,16 @@
 } // namespace
 
 decision admission_lane::arrive(
-    const call_facts& call,
+    const call_info& call,
     time_point now,
     random_engine& engine,
-    settlements& out)
+    queue_outcomes& out)
 {
     meter_.on_offered(call.rank, now);
     const duration needed = times_.expected(call.work_class, now);
     const duration spare = call.deadline - now - needed;
-    const duration patience =
-        most_wait(call, times_.no_load(call.work_class), spare, now);
+    const duration wait_limit =
+        wait_limit_of(call, times_.no_load(call.work_class), spare, now);
     if (call.deadline <= now)
     {
         return refused{refusal_reason::deadline, duration(0)};
@@ -92,48 +92,50 @@
     {
         return refuse(call, refusal_reason::deadline, now, engine);
     }
-    if (predicted_wait(call, now) > patience)
+    if (predicted_wait(call, now) > wait_limit)
     {
-        const bool greedy = queue_.heaviest(call);
+        const bool over_fair_share = queue_.has_most_calls(call);
         return refuse(
             call,
-            greedy ? refusal_reason::fair_share : refusal_reason::overload,
+            over_fair_share ? refusal_reason::fair_share
+                            : refusal_reason::overload,
             now,
             engine);
     }
-    return enqueue(call, now + patience, now, engine, out);
+    return enqueue(call, now + wait_limit, now, engine, out);
 }
 
 decision admission_lane::enqueue(
-    const call_facts& call,
+    const call_info& call,
     time_point latest_start,
     time_point now,
     random_engine& engine,
-    settlements& out)
+    queue_outcomes& out)
 {
-    if (queue_.size() >= most_waiting())
+    if (queue_.size() >= max_waiting())
     {
-        const auto displaced = queue_.displace_for(call);
-        if (!displaced)
+        const auto evicted = queue_.evict_for(call);
+        if (!evicted)
         {
-            const bool greedy = queue_.heaviest(call);
+            const bool over_fair_share = queue_.has_most_calls(call);
             return refuse(
                 call,
-                greedy ? refusal_reason::fair_share : refusal_reason::overload,
+                over_fair_share ? refusal_reason::fair_share
+                                : refusal_reason::overload,
                 now,
                 engine);
         }
         out.push_back(
-            {displaced->facts.ticket,
-             refuse(displaced->facts, refusal_reason::overload, now, engine)});
+            {evicted->info.ticket,
+             refuse(evicted->info, refusal_reason::overload, now, engine)});
     }
     queue_.push({call, latest_start});
     return queued{};
 }
 
-std::size_t admission_lane::most_waiting() const
+std::size_t admission_lane::max_waiting() const
 {
-    return std::max(least_waiting, limit_.value() * waiting_per_slot);
+    return std::max(min_queue_size, limit_.value() * waiting_per_slot);
 }
 
 double admission_lane::drain_per_second(time_point now) const
@@ -146,7 +148,7 @@
 }
 
 duration
-admission_lane::predicted_wait(const call_facts& call, time_point now) const
+admission_lane::predicted_wait(const call_info& call, time_point now) const
 {
     const std::size_t busy = running_.size();
     const std::size_t ahead = queue_.ahead_of(call);
@@ -154,12 +156,12 @@
     {
         return duration(0);
     }
-    const double spare = room_per_second(call.rank, now);
+    const double spare = available_per_second(call.rank, now);
     return from_seconds(static_cast<double>(ahead + 1) / spare);
 }
 
 refused admission_lane::refuse(
-    const call_facts& call,
+    const call_info& call,
     refusal_reason reason,
     time_point now,
     random_engine& engine)
@@ -167,23 +169,26 @@
     meter_.on_refused(call.rank, now);
     const std::size_t rank = std::min<std::size_t>(call.rank, rank_count - 1);
     const duration wait =
-        returns_[rank].next(room_per_second(call.rank, now), now);
+        retry_schedules_[rank].next(available_per_second(call.rank, now), now);
     return {reason, spread(wait, engine)};
 }
 
-double admission_lane::room_per_second(std::uint8_t rank, time_point now) const
+double
+admission_lane::available_per_second(std::uint8_t rank, time_point now) const
 {
     const double drain = drain_per_second(now);
     return std::max(
-        drain - meter_.better_per_second(rank, now), drain * least_spare_share);
+        drain - meter_.better_ranks_per_second(rank, now),
+        drain * min_available_share);
 }
 
-duration admission_lane::come_back(std::uint8_t rank, time_point now) const
+duration admission_lane::retry_after(std::uint8_t rank, time_point now) const
 {
-    return returns_[std::min<std::size_t>(rank, rank_count - 1)].wait(now);
+    return retry_schedules_[std::min<std::size_t>(rank, rank_count - 1)].wait(
+        now);
 }
 
-void admission_lane::start(const call_facts& call, time_point now)
+void admission_lane::start(const call_info& call, time_point now)
 {
     running_.emplace(
         call.ticket,
@@ -207,11 +212,11 @@
         --in_sub_calls_;
         call.in_sub_calls += now - call.sub_calls_since;
     }
-    learn(call, result, now);
+    record_result(call, result, now);
     return true;
 }
 
-void admission_lane::learn(
+void admission_lane::record_result(
     const running_call& call, call_result result, time_point now)
 {
     if (call.was_paused)
@@ -227,9 +232,10 @@
     {
     case call_result::ok:
     {
-        const bool calm = (in_flight + 1) * calm_divisor <= limit_.value();
+        const bool low_load =
+            (in_flight + 1) * low_load_divisor <= limit_.value();
         const double inflation =
-            times_.record(call.work_class, {elapsed, own}, calm, now);
+            times_.record(call.work_class, {elapsed, own}, low_load, now);
         limit_.on_answer(
             {.started = call.started, .inflation = inflation}, in_flight, now);
         break;
@@ -237,7 +243,7 @@
     case call_result::timed_out:
     {
         const double inflation =
-            times_.record_at_least(call.work_class, {elapsed, own}, now);
+            times_.record_lower_bound(call.work_class, {elapsed, own}, now);
         limit_.on_answer(
             {.started = call.started,
              .inflation = inflation,
@@ -250,7 +256,7 @@
         limit_.on_shed(in_flight, now);
         return;
     case call_result::cancelled:
-        times_.record_at_least(call.work_class, {elapsed, own}, now);
+        times_.record_lower_bound(call.work_class, {elapsed, own}, now);
         break;
     case call_result::failed:
         // It went as far as its sub-call: the upstream's own part of it is
@@ -259,7 +265,7 @@
         if (call.in_sub_calls > duration(0))
         {
             const double inflation =
-                times_.record_at_least(call.work_class, {elapsed, own}, now);
+                times_.record_lower_bound(call.work_class, {elapsed, own}, now);
             limit_.on_answer(
                 {.started = call.started,
                  .inflation = inflation,
@@ -319,14 +325,14 @@
     return queue_.remove(ticket);
 }
 
-void admission_lane::settle(
-    std::size_t cap, time_point now, random_engine& engine, settlements& out)
+void admission_lane::process_queue(
+    std::size_t cap, time_point now, random_engine& engine, queue_outcomes& out)
 {
     while (const auto expired = queue_.pop_expired(now))
     {
         out.push_back(
-            {expired->facts.ticket,
-             refuse(expired->facts, refusal_reason::overload, now, engine)});
+            {expired->info.ticket,
+             refuse(expired->info, refusal_reason::overload, now, engine)});
     }
     const std::size_t most = std::min(limit_.value(), cap);
     while (running_.size() < most)
@@ -336,8 +342,8 @@
         {
             break;
         }
-        start(next->facts, now);
-        out.push_back({next->facts.ticket, admitted{}});
+        start(next->info, now);
+        out.push_back({next->info.ticket, admitted{}});
     }
 }
 
@@ -345,16 +351,16 @@
     refusal_reason reason,
     time_point now,
     random_engine& engine,
-    settlements& out)
+    queue_outcomes& out)
 {
     while (const auto next = queue_.pop())
     {
         refused verdict{reason, duration(0)};
         if (reason != refusal_reason::leaving)
         {
-            verdict = refuse(next->facts, reason, now, engine);
+            verdict = refuse(next->info, reason, now, engine);
         }
-        out.push_back({next->facts.ticket, verdict});
+        out.push_back({next->info.ticket, verdict});
     }
 }
 
@@ -375,7 +381,7 @@
 // calls in work seem to have taken that long: the limit falls, the queue seems
 // to drain at a tenth of its speed, and calls of the first rank are refused
 // for a wait that they wouldn't have.
-void admission_lane::paused(time_point now)
+void admission_lane::on_pause(time_point now)
 {
     for (auto& [ticket, call] : running_)
     {
--- a/nutmegusher/policy/admission_lane.hpp
+++ b/nutmegusher/policy/admission_lane.hpp
@@ -5,7 +5,7 @@
 #include "nutmegusher/base/random.hpp"
 #include "nutmegusher/policy/call.hpp"
 #include "nutmegusher/policy/concurrency_limit.hpp"
-#include "nutmegusher/policy/pressure_meter.hpp"
+#include "nutmegusher/policy/load_meter.hpp"
 #include "nutmegusher/policy/rank_queue.hpp"
 #include "nutmegusher/policy/return_time.hpp"
 #include "nutmegusher/policy/service_times.hpp"
@@ -21,14 +21,14 @@
 class admission_lane
 {
 public:
-    using settlements = std::vector<settlement>;
+    using queue_outcomes = std::vector<queue_outcome>;
 
     // Decides on an arrival; calls that it displaces go into `out`.
     decision arrive(
-        const call_facts& call,
+        const call_info& call,
         time_point now,
         random_engine& engine,
-        settlements& out);
+        queue_outcomes& out);
 
     // A running call ended. False where it doesn't run here.
     bool finish(ticket_id ticket, call_result result, time_point now);
@@ -42,28 +42,28 @@
 
     // Refuses what waited too long, then lets in what fits into `limit()`
     // and `cap`.
-    void settle(
+    void process_queue(
         std::size_t cap,
         time_point now,
         random_engine& engine,
-        settlements& out);
+        queue_outcomes& out);
 
     // Refuses all that waits.
     void refuse_all(
         refusal_reason reason,
         time_point now,
         random_engine& engine,
-        settlements& out);
+        queue_outcomes& out);
 
     // See `concurrency_limit`.
-    void set_others_hold_slots(bool hold)
+    void set_other_lane_dominates(bool hold)
     {
-        limit_.set_others_hold_slots(hold);
+        limit_.set_other_lane_dominates(hold);
     }
 
-    [[nodiscard]] bool take_strained()
+    [[nodiscard]] bool take_contended()
     {
-        return limit_.take_strained();
+        return limit_.take_contended();
     }
 
     // Gives a fifth of the limit up, unless it is still on the way down.
@@ -71,13 +71,13 @@
 
     void tick(time_point now);
     // See `admission_controller`.
-    void paused(time_point now);
+    void on_pause(time_point now);
     void begin_warm_up(time_point now);
 
     [[nodiscard]] std::optional<time_point> next_event() const;
     [[nodiscard]] lane_level level(time_point now) const;
     // How long refused work of the marginal rank should stay away.
-    [[nodiscard]] duration come_back(std::uint8_t rank, time_point now) const;
+    [[nodiscard]] duration retry_after(std::uint8_t rank, time_point now) const;
 
     [[nodiscard]] std::size_t limit() const
     {
@@ -107,26 +107,27 @@
         bool was_paused = false;
     };
 
-    [[nodiscard]] std::size_t most_waiting() const;
+    [[nodiscard]] std::size_t max_waiting() const;
     [[nodiscard]] double drain_per_second(time_point now) const;
     // What better ranks leave of it.
     [[nodiscard]] double
-    room_per_second(std::uint8_t rank, time_point now) const;
+    available_per_second(std::uint8_t rank, time_point now) const;
     [[nodiscard]] duration
-    predicted_wait(const call_facts& call, time_point now) const;
+    predicted_wait(const call_info& call, time_point now) const;
     refused refuse(
-        const call_facts& call,
+        const call_info& call,
         refusal_reason reason,
         time_point now,
         random_engine& engine);
     decision enqueue(
-        const call_facts& call,
+        const call_info& call,
         time_point latest_start,
         time_point now,
         random_engine& engine,
-        settlements& out);
-    void start(const call_facts& call, time_point now);
-    void learn(const running_call& call, call_result result, time_point now);
+        queue_outcomes& out);
+    void start(const call_info& call, time_point now);
+    void
+    record_result(const running_call& call, call_result result, time_point now);
     // The calls that the upstream itself works on.
     [[nodiscard]] std::size_t working() const
     {
@@ -136,8 +137,8 @@
     concurrency_limit limit_;
     rank_queue queue_;
     service_times times_;
-    pressure_meter meter_;
-    std::array<return_schedule, rank_count> returns_;
+    load_meter meter_;
+    std::array<return_schedule, rank_count> retry_schedules_;
     std::unordered_map<ticket_id, running_call> running_;
     std::size_t in_sub_calls_ = 0;
     // Moving mean of the time that a slot is taken, in seconds.
--- a/nutmegusher/policy/admission_level.cpp
+++ b/nutmegusher/policy/admission_level.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned max_permille = 1000;
 // A longer wait is no hint but a mistake.
-constexpr unsigned max_come_back_ms = 600'000;
+constexpr unsigned max_retry_after_ms = 600'000;
 
 // Reads the fields of a level one by one.
 class field_reader
@@ -87,8 +87,8 @@
     admission_level level;
     BOOST_LEAF_ASSIGN(level.short_lane, read_lane(reader));
     BOOST_LEAF_ASSIGN(level.bulk_lane, read_lane(reader));
-    BOOST_LEAF_AUTO(wait, reader.next(end, max_come_back_ms));
-    level.come_back_after = std::chrono::milliseconds(wait);
+    BOOST_LEAF_AUTO(wait, reader.next(end, max_retry_after_ms));
+    level.retry_after = std::chrono::milliseconds(wait);
     return level;
 }
 
@@ -100,7 +100,7 @@
 
 lane_level stricter_lane(const lane_level& left, const lane_level& right)
 {
-    return pass_below(left) <= pass_below(right) ? left : right;
+    return pass_threshold(left) <= pass_threshold(right) ? left : right;
 }
 
 } // namespace
@@ -108,7 +108,7 @@
 std::string format_level(const admission_level& level)
 {
     const auto wait = std::clamp<std::chrono::milliseconds::rep>(
-        level.come_back_after.count(), 0, max_come_back_ms);
+        level.retry_after.count(), 0, max_retry_after_ms);
     return format_lane(level.short_lane) + ',' + format_lane(level.bulk_lane) +
            ',' + std::to_string(wait);
 }
@@ -143,7 +143,7 @@
     return levels;
 }
 
-double pass_below(const lane_level& lane)
+double pass_threshold(const lane_level& lane)
 {
     if (lane.rank >= rank_count)
     {
@@ -152,15 +152,15 @@
     return lane.rank + 1.0 - lane.refused_permille / double(max_permille);
 }
 
-lane_level lane_level_below(double cut)
+lane_level level_for_threshold(double threshold)
 {
-    const double held = std::clamp(cut, 0.0, double(rank_count));
-    if (held >= double(rank_count))
+    const double clamped = std::clamp(threshold, 0.0, double(rank_count));
+    if (clamped >= double(rank_count))
     {
         return {};
     }
-    const auto rank = static_cast<std::uint8_t>(held);
-    const double refused = 1.0 - (held - rank);
+    const auto rank = static_cast<std::uint8_t>(clamped);
+    const double refused = 1.0 - (clamped - rank);
     return {rank, static_cast<std::uint16_t>(refused * max_permille)};
 }
 
@@ -170,20 +170,20 @@
     return {
         stricter_lane(left.short_lane, right.short_lane),
         stricter_lane(left.bulk_lane, right.bulk_lane),
-        std::max(left.come_back_after, right.come_back_after)};
+        std::max(left.retry_after, right.retry_after)};
 }
 
-double request_fraction(const call_facts& call)
+double request_fraction(const call_info& call)
 {
-    constexpr int kept_bits = 53;
-    return static_cast<double>(call.request >> (64 - kept_bits)) /
-           static_cast<double>(std::uint64_t{1} << kept_bits);
+    constexpr int mantissa_bits = 53;
+    return static_cast<double>(call.request >> (64 - mantissa_bits)) /
+           static_cast<double>(std::uint64_t{1} << mantissa_bits);
 }
 
-bool passes(const admission_level& level, const call_facts& call)
+bool passes(const admission_level& level, const call_info& call)
 {
     const lane_level& lane = call.bulk ? level.bulk_lane : level.short_lane;
-    return call.rank + request_fraction(call) < pass_below(lane);
+    return call.rank + request_fraction(call) < pass_threshold(lane);
 }
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/admission_level.hpp
+++ b/nutmegusher/policy/admission_level.hpp
@@ -38,7 +38,7 @@
     lane_level short_lane;
     lane_level bulk_lane;
     // When refused work may come back, before it is spread; whole ms.
-    std::chrono::milliseconds come_back_after{0};
+    std::chrono::milliseconds retry_after{0};
 
     friend bool
     operator==(const admission_level&, const admission_level&) = default;
@@ -91,20 +91,20 @@
 
 // The rank scale as one number: a call passes where its rank plus a fraction
 // in [0, 1) that is its own lies below it. 10: everything passes.
-[[nodiscard]] double pass_below(const lane_level& lane);
+[[nodiscard]] double pass_threshold(const lane_level& lane);
 
-// The inverse of `pass_below`; clamps to [0, 10].
-[[nodiscard]] lane_level lane_level_below(double cut);
+// The inverse of `pass_threshold`; clamps to [0, 10].
+[[nodiscard]] lane_level level_for_threshold(double threshold);
 
 // Lane by lane the stricter one, and the longer wait.
 [[nodiscard]] admission_level
 stricter(const admission_level& left, const admission_level& right);
 
 // The call's own fraction in [0, 1), the same on every hop of its request.
-[[nodiscard]] double request_fraction(const call_facts& call);
+[[nodiscard]] double request_fraction(const call_info& call);
 
 // Whether the level lets the call's rank in.
-[[nodiscard]] bool passes(const admission_level& level, const call_facts& call);
+[[nodiscard]] bool passes(const admission_level& level, const call_info& call);
 
 } // namespace nutmegusher
 
--- a/nutmegusher/policy/admission_level_test.cpp
+++ b/nutmegusher/policy/admission_level_test.cpp
@@ -37,7 +37,7 @@
     EXPECT_EQ(parse_level(text).value(), level);
 }
 
-TEST(admission_level, names_what_is_wrong_with_a_text)
+TEST(admission_level, reports_the_parse_error_and_its_field)
 {
     EXPECT_EQ(problem_of("").problem, level_problem::missing_field);
     EXPECT_EQ(problem_of("4/250").problem, level_problem::missing_field);
@@ -48,11 +48,12 @@
     EXPECT_EQ(problem_of("4/250,10/0,1x").field, 4U);
 }
 
-TEST(admission_level, a_cut_and_its_level_agree)
+TEST(admission_level, threshold_and_level_convert_both_ways)
 {
-    for (const double cut : {0.0, 0.25, 3.5, 9.75, 10.0})
+    for (const double threshold : {0.0, 0.25, 3.5, 9.75, 10.0})
     {
-        EXPECT_NEAR(pass_below(lane_level_below(cut)), cut, 0.002);
+        EXPECT_NEAR(
+            pass_threshold(level_for_threshold(threshold)), threshold, 0.002);
     }
 }
 
@@ -60,7 +61,7 @@
 {
     admission_level level;
     level.short_lane = {4, 500};
-    call_facts call;
+    call_info call;
     call.rank = 3;
     call.request = ~std::uint64_t{0};
     EXPECT_TRUE(passes(level, call));
--- a/nutmegusher/policy/admission_pause_test.cpp
+++ b/nutmegusher/policy/admission_pause_test.cpp
@@ -27,7 +27,7 @@
 class paused_daemon : public testing::Test
 {
 protected:
-    void play(duration length)
+    void simulate(duration length)
     {
         for (const auto until = clock_.now() + length; clock_.now() < until;)
         {
@@ -45,13 +45,13 @@
             clock_.advance(milliseconds(1));
             offer(1);
         }
-        controller_.paused(clock_.now());
+        controller_.on_pause(clock_.now());
         handle();
     }
 
     [[nodiscard]] double refused_share(std::uint8_t rank)
     {
-        return static_cast<double>(not_run_[rank]) /
+        return static_cast<double>(refused_[rank]) /
                static_cast<double>(offered_[rank]);
     }
 
@@ -78,19 +78,19 @@
         {
             const auto ticket = in_upstream_.begin()->second;
             in_upstream_.erase(in_upstream_.begin());
-            settle(controller_.finish(ticket, call_result::ok, clock_.now()));
+            apply(controller_.finish(ticket, call_result::ok, clock_.now()));
         }
         while (!arriving_.empty())
         {
             arrive(arriving_.front());
             arriving_.pop_front();
         }
-        settle(controller_.tick(clock_.now()));
+        apply(controller_.tick(clock_.now()));
     }
 
     void arrive(std::uint8_t rank)
     {
-        call_facts call;
+        call_info call;
         call.ticket = ticket_id(++last_ticket_);
         call.rank = rank;
         call.customer = last_ticket_ % 50;
@@ -101,17 +101,17 @@
         ++offered_[rank];
         const auto at = controller_.arrive(call, clock_.now());
         const auto verdict = at.verdict;
-        settle(at.others);
+        apply(at.outcomes);
         if (std::holds_alternative<admitted>(verdict))
         {
             run(call.ticket);
         }
-        not_run_[rank] += std::holds_alternative<refused>(verdict) ? 1 : 0;
+        refused_[rank] += std::holds_alternative<refused>(verdict) ? 1 : 0;
     }
 
-    void settle(std::span<const settlement> settled)
+    void apply(std::span<const queue_outcome> outcomes)
     {
-        const std::vector<settlement> all(settled.begin(), settled.end());
+        const std::vector<queue_outcome> all(outcomes.begin(), outcomes.end());
         for (const auto& each : all)
         {
             if (std::holds_alternative<admitted>(each.verdict))
@@ -119,7 +119,7 @@
                 run(each.ticket);
                 continue;
             }
-            ++not_run_[ranks_.at(each.ticket)];
+            ++refused_[ranks_.at(each.ticket)];
         }
     }
 
@@ -144,7 +144,7 @@
     std::multimap<time_point, ticket_id> in_upstream_;
     std::map<ticket_id, std::uint8_t> ranks_;
     std::map<std::uint8_t, int> offered_;
-    std::map<std::uint8_t, int> not_run_;
+    std::map<std::uint8_t, int> refused_;
 };
 
 // A daemon that was stopped for 0.6 s under such a load took the pause for the
@@ -152,9 +152,9 @@
 // speed, and payouts were refused for a wait that they wouldn't have had.
 TEST_F(paused_daemon, refuses_the_first_rank_last)
 {
-    play(milliseconds(2000));
+    simulate(milliseconds(2000));
     pause(milliseconds(600));
-    play(milliseconds(1500));
+    simulate(milliseconds(1500));
     EXPECT_LT(refused_share(payout_rank), 0.01);
     EXPECT_LT(refused_share(payout_rank), refused_share(view_rank));
     EXPECT_LT(refused_share(view_rank), refused_share(statement_rank));
--- a/nutmegusher/policy/call.hpp
+++ b/nutmegusher/policy/call.hpp
@@ -19,7 +19,7 @@
 inline constexpr std::size_t rank_count = 10;
 
 // One call as the daemon's filters know it before it runs.
-struct call_facts
+struct call_info
 {
     ticket_id ticket;
     // Of the request's class; a sub-call has the rank of its request. A
@@ -91,7 +91,7 @@
     refusal_reason reason = refusal_reason::overload;
     // When a later try may be let in; already spread over callers. Zero:
     // at once, elsewhere.
-    duration come_back_after{0};
+    duration retry_after{0};
 
     friend bool operator==(const refused&, const refused&) = default;
 };
@@ -99,7 +99,7 @@
 using decision = std::variant<admitted, queued, refused>;
 
 // What became of a call that waited.
-struct settlement
+struct queue_outcome
 {
     ticket_id ticket;
     std::variant<admitted, refused> verdict;
--- a/nutmegusher/policy/concurrency_limit.cpp
+++ b/nutmegusher/policy/concurrency_limit.cpp
@@ -11,54 +11,54 @@
 {
 
 // Arithmetic bound only; no upstream of the users has as many connections.
-constexpr std::size_t highest_limit = 10'000;
+constexpr std::size_t max_limit = 10'000;
 
 // Growth with each answer stops within about eight that show a queue.
 constexpr double inflation_weight = 1.0 / 8;
 
 // A window of a slow service closes with fewer answers after this: the limit
 // has to move within a fraction of a second.
-constexpr duration longest_window = std::chrono::milliseconds(200);
-constexpr std::size_t least_samples = 6;
+constexpr duration max_window = std::chrono::milliseconds(200);
+constexpr std::size_t min_samples = 6;
 
 // A fall aims at a small queue in the upstream, so that a slot that comes
 // free finds work there while the answer is on its way.
-constexpr double aim = concurrency_limit::grow_below;
+constexpr double target_inflation = concurrency_limit::grow_threshold;
 // One window never takes more than half: its noise may be the cause.
-constexpr double deepest_fall = 0.5;
+constexpr double min_kept_share = 0.5;
 // And never less than this: a smaller step couldn't be told from noise.
-constexpr double lightest_fall = 0.75;
+constexpr double max_kept_share = 0.75;
 // Until a trial has been judged the limit keeps this share, so that a slow
 // deep service isn't starved by a mistake.
 constexpr std::size_t trial_floor_divisor = 4;
 
 // Growth beyond what is known to be good: a tenth is within the small queue
-// that `aim` allows.
+// that `target_inflation` allows.
 constexpr std::size_t growth_divisor = 10;
 
 // After a refusal by the upstream the next try to go beyond costs at most one
 // refused call a second.
 constexpr duration shed_hold = std::chrono::seconds(1);
 
-// A fifth is more than the small queue that `aim` allows.
+// A fifth is more than the small queue that `target_inflation` allows.
 constexpr std::size_t yield_divisor = 5;
 
 // Quiet for four times the usual latency, with the whole limit in flight, has
 // a chance of less than one in a million at two calls in flight already.
 constexpr int stall_latencies = 4;
 // Shorter silences are scheduling of the host.
-constexpr duration shortest_stall = std::chrono::milliseconds(50);
+constexpr duration min_stall_time = std::chrono::milliseconds(50);
 
 duration stall_time(duration typical)
 {
-    return std::max(shortest_stall, typical * stall_latencies);
+    return std::max(min_stall_time, typical * stall_latencies);
 }
 
 } // namespace
 
 concurrency_limit::concurrency_limit()
-    : known_good_(highest_limit)
-    , shed_ceiling_(highest_limit)
+    : known_good_(max_limit)
+    , shed_ceiling_(max_limit)
 {
 }
 
@@ -66,7 +66,7 @@
 {
     if (in_flight == 1)
     {
-        last_end_ = now;
+        last_progress_ = now;
     }
     window_.peak_in_flight = std::max(window_.peak_in_flight, in_flight);
 }
@@ -74,7 +74,7 @@
 void concurrency_limit::on_answer(
     const limit_sample& sample, std::size_t in_flight, time_point now)
 {
-    last_end_ = now;
+    last_progress_ = now;
     if (!sample.partial)
     {
         grow_by_answer(in_flight, sample.inflation);
@@ -96,9 +96,11 @@
 void concurrency_limit::grow_by_answer(std::size_t in_flight, double inflation)
 {
     recent_inflation_ += (inflation - recent_inflation_) * inflation_weight;
-    const bool filled = in_flight + 1 >= limit_;
-    const bool calm = recent_inflation_ < elsewhere_ * grow_below;
-    if (filled && calm && limit_ < known_good_ && !trial_ && !warming_up_)
+    const bool limit_reached = in_flight + 1 >= limit_;
+    const bool short_queue =
+        recent_inflation_ < external_inflation_ * grow_threshold;
+    if (limit_reached && short_queue && limit_ < known_good_ && !trial_ &&
+        !warming_up_)
     {
         set_limit(limit_ + 1);
     }
@@ -109,50 +111,51 @@
     // Two answers a slot show what a low limit does: its mistakes are small,
     // and waiting for more of them would slow the recovery.
     const std::size_t enough =
-        std::clamp<std::size_t>(limit_ * 2, least_samples, window_samples);
+        std::clamp<std::size_t>(limit_ * 2, min_samples, window_samples);
     if (window_.samples >= enough)
     {
         return true;
     }
-    const bool long_open = now - window_.opened >= longest_window;
-    return long_open && window_.samples >= least_samples;
+    const bool long_open = now - window_.opened >= max_window;
+    return long_open && window_.samples >= min_samples;
 }
 
 void concurrency_limit::close_window(std::size_t in_flight, time_point now)
 {
     const double inflation =
         window_.inflation_sum / static_cast<double>(window_.samples);
-    const bool given_up = window_.timeouts == window_.samples;
-    if (given_up && others_hold_slots_)
+    const bool all_timed_out = window_.timeouts == window_.samples;
+    if (all_timed_out && other_lane_dominates_)
     {
-        strained_ = true;
+        contended_ = true;
     }
-    else if (given_up)
+    else if (all_timed_out)
     {
         // Nothing comes back: whatever the cause, calls are better off
         // elsewhere. The limit that was good before is not in doubt.
-        fall(deepest_fall);
+        reduce(min_kept_share);
         trial_.reset();
     }
     else if (trial_)
     {
-        judge_trial(inflation);
+        evaluate_trial(inflation);
     }
     else
     {
-        elsewhere_ = std::max(1.0, std::min(elsewhere_, inflation));
+        external_inflation_ =
+            std::max(1.0, std::min(external_inflation_, inflation));
         adjust(inflation, now);
     }
     open_window(in_flight, now);
 }
 
-void concurrency_limit::judge_trial(double inflation)
+void concurrency_limit::evaluate_trial(double inflation)
 {
     if (trial_->reference_limit == 0)
     {
-        if (inflation / elsewhere_ > fall_above)
+        if (inflation / external_inflation_ > reduce_threshold)
         {
-            begin_second_fall(inflation);
+            begin_second_reduction(inflation);
             return;
         }
         known_good_ = limit_;
@@ -162,42 +165,43 @@
     const double kept = static_cast<double>(limit_) /
                         static_cast<double>(trial_->reference_limit);
     // Halfway between "fell with the limit" and "did not move".
-    const double helped_below =
+    const double success_threshold =
         trial_->reference_inflation * (1.0 + kept) / 2.0;
-    if (inflation >= helped_below)
+    if (inflation >= success_threshold)
     {
-        elsewhere_ = std::max(1.0, inflation);
+        external_inflation_ = std::max(1.0, inflation);
         set_limit(trial_->limit_before);
     }
     known_good_ = limit_;
     trial_.reset();
 }
 
-void concurrency_limit::begin_second_fall(double inflation)
+void concurrency_limit::begin_second_reduction(double inflation)
 {
     trial_->reference_limit = limit_;
     trial_->reference_inflation = inflation;
-    fall(aim * elsewhere_ / inflation);
+    reduce(target_inflation * external_inflation_ / inflation);
 }
 
 void concurrency_limit::adjust(double inflation, time_point now)
 {
-    const double own = inflation / elsewhere_;
+    const double own = inflation / external_inflation_;
     const bool in_use = window_.peak_in_flight * 2 >= limit_;
-    if (!in_use && !others_hold_slots_)
+    if (!in_use && !other_lane_dominates_)
     {
         return;
     }
-    if (own > fall_above && others_hold_slots_)
+    if (own > reduce_threshold && other_lane_dominates_)
     {
-        strained_ = true;
+        contended_ = true;
     }
-    else if (own > fall_above)
+    else if (own > reduce_threshold)
     {
-        const double latest = std::max(own, recent_inflation_ / elsewhere_);
-        fall(aim / latest);
+        const double latest =
+            std::max(own, recent_inflation_ / external_inflation_);
+        reduce(target_inflation / latest);
     }
-    else if (own < grow_below)
+    else if (own < grow_threshold)
     {
         grow(now);
     }
@@ -205,11 +209,12 @@
 
 void concurrency_limit::grow(time_point now)
 {
-    const bool whole = window_.partial * 2 <= window_.samples;
-    const bool filled = whole && window_.peak_in_flight >= limit_;
+    const bool mostly_complete = window_.partial * 2 <= window_.samples;
+    const bool limit_reached =
+        mostly_complete && window_.peak_in_flight >= limit_;
     const bool held = limit_ >= shed_ceiling_ && now < hold_until_;
     const bool too_soon = warming_up_ && now - last_growth_ < warm_up_step;
-    if (!filled || held || too_soon)
+    if (!limit_reached || held || too_soon)
     {
         return;
     }
@@ -221,22 +226,22 @@
     set_limit(std::max(limit_ + step, doubled));
 }
 
-void concurrency_limit::fall(double factor)
+void concurrency_limit::reduce(double factor)
 {
-    const double kept = std::clamp(factor, deepest_fall, lightest_fall);
-    const auto fallen = static_cast<std::size_t>(
+    const double kept = std::clamp(factor, min_kept_share, max_kept_share);
+    const auto reduced = static_cast<std::size_t>(
         std::floor(static_cast<double>(limit_) * kept));
     warming_up_ = false;
     if (!trial_)
     {
         trial_ = trial{.limit_before = limit_};
     }
-    set_limit(fallen);
+    set_limit(reduced);
 }
 
 void concurrency_limit::set_limit(std::size_t limit)
 {
-    limit_ = std::clamp<std::size_t>(limit, 1, highest_limit);
+    limit_ = std::clamp<std::size_t>(limit, 1, max_limit);
 }
 
 void concurrency_limit::open_window(std::size_t in_flight, time_point now)
@@ -246,7 +251,7 @@
 
 void concurrency_limit::on_shed(std::size_t in_flight, time_point now)
 {
-    last_end_ = now;
+    last_progress_ = now;
     const std::size_t slots = std::max<std::size_t>(in_flight, 1);
     shed_ceiling_ = slots;
     hold_until_ = now + shed_hold;
@@ -262,9 +267,9 @@
     }
 }
 
-bool concurrency_limit::take_strained()
+bool concurrency_limit::take_contended()
 {
-    return std::exchange(strained_, false);
+    return std::exchange(contended_, false);
 }
 
 void concurrency_limit::yield(std::size_t in_flight, time_point now)
@@ -286,17 +291,17 @@
     {
         return;
     }
-    last_end_ = now;
-    if (others_hold_slots_)
+    last_progress_ = now;
+    if (other_lane_dominates_)
     {
-        strained_ = true;
+        contended_ = true;
         return;
     }
     const std::size_t before = trial_ ? trial_->limit_before : limit_;
     const std::size_t floor = before / trial_floor_divisor;
     if (limit_ / 2 >= floor)
     {
-        fall(deepest_fall);
+        reduce(min_kept_share);
     }
     open_window(working, now);
 }
@@ -309,7 +314,7 @@
     {
         return std::nullopt;
     }
-    return last_end_ + stall_time(typical);
+    return last_progress_ + stall_time(typical);
 }
 
 void concurrency_limit::begin_warm_up(time_point now)
--- a/nutmegusher/policy/concurrency_limit.hpp
+++ b/nutmegusher/policy/concurrency_limit.hpp
@@ -12,9 +12,9 @@
 // The measure is inflation: an answer's latency over the no-load latency of
 // its class. A window of answers that all started under the present limit is
 // held against two thresholds:
-// - below `grow_below` the limit grows while it is in use, by one with each
+// - below `grow_threshold` the limit grows while it is in use, by one with each
 //   answer up to what was good before, in tenths beyond;
-// - above `fall_above` it falls in proportion, as a trial: where one fall
+// - above `reduce_threshold` it falls in proportion, as a trial: where one fall
 //   isn't enough, a second one tells whether the queue was ours. Latency that
 //   doesn't fall with the limit comes from somewhere else (a deep service),
 //   where fewer calls help nobody; the limit goes back and that latency becomes
@@ -53,9 +53,9 @@
     // Latency noise of a window of `window_samples` answers stays within a
     // quarter of its mean for exponential service times (1 / sqrt(24) = 0.2):
     // below it nothing is known to wait.
-    static constexpr double grow_below = 1.25;
+    static constexpr double grow_threshold = 1.25;
     // Two and a half deviations of the same noise.
-    static constexpr double fall_above = 1.5;
+    static constexpr double reduce_threshold = 1.5;
     static constexpr std::size_t window_samples = 24;
 
     // Calls that may run at a time; at least 1.
@@ -70,7 +70,7 @@
     // The upstream did something for a call without ending it.
     void on_progress(time_point now)
     {
-        last_end_ = now;
+        last_progress_ = now;
     }
 
     // A call ended with an answer or was given up; `in_flight` is without it.
@@ -92,13 +92,13 @@
 
     // Others hold most of the upstream's slots: inflation is theirs to mend.
     // While set, it doesn't lower this limit but marks it as `strained`.
-    void set_others_hold_slots(bool hold)
+    void set_other_lane_dominates(bool hold)
     {
-        others_hold_slots_ = hold;
+        other_lane_dominates_ = hold;
     }
 
     // Whether inflation was marked since the last call.
-    [[nodiscard]] bool take_strained();
+    [[nodiscard]] bool take_contended();
 
     // Makes room for others: falls to four fifths of what is in flight and
     // stays there for a second.
@@ -140,11 +140,11 @@
     [[nodiscard]] bool window_complete(time_point now) const;
     void grow_by_answer(std::size_t in_flight, double inflation);
     void close_window(std::size_t in_flight, time_point now);
-    void judge_trial(double inflation);
-    void begin_second_fall(double inflation);
+    void evaluate_trial(double inflation);
+    void begin_second_reduction(double inflation);
     void adjust(double inflation, time_point now);
     void grow(time_point now);
-    void fall(double factor);
+    void reduce(double factor);
     void set_limit(std::size_t limit);
     void open_window(std::size_t in_flight, time_point now);
 
@@ -156,16 +156,16 @@
     // Moving mean over answers.
     double recent_inflation_ = 1.0;
     // The inflation that isn't ours.
-    double elsewhere_ = 1.0;
+    double external_inflation_ = 1.0;
     window window_;
-    time_point last_end_;
+    time_point last_progress_;
     // No growth beyond `shed_ceiling_` before this.
     time_point hold_until_;
     std::size_t shed_ceiling_;
     time_point last_growth_;
     bool warming_up_ = false;
-    bool others_hold_slots_ = false;
-    bool strained_ = false;
+    bool other_lane_dominates_ = false;
+    bool contended_ = false;
 
 public:
     concurrency_limit();
--- a/nutmegusher/policy/concurrency_limit_test.cpp
+++ b/nutmegusher/policy/concurrency_limit_test.cpp
@@ -28,22 +28,22 @@
         const time_point end = clock_.now() + span;
         while (clock_.now() < end)
         {
-            while (in_.size() < limit.value())
+            while (in_flight_.size() < limit.value())
             {
-                in_.push_back(clock_.now());
-                limit.on_start(in_.size(), clock_.now());
+                in_flight_.push_back(clock_.now());
+                limit.on_start(in_flight_.size(), clock_.now());
             }
-            const std::size_t busy = std::min(slots_, in_.size());
+            const std::size_t busy = std::min(slots_, in_flight_.size());
             clock_.advance(work / static_cast<std::int64_t>(busy));
-            const time_point started = in_.front();
-            in_.pop_front();
+            const time_point started = in_flight_.front();
+            in_flight_.pop_front();
             const duration latency =
                 std::max<duration>(clock_.now() - started, work);
             limit.on_answer(
                 {.started = started,
                  .inflation = static_cast<double>(latency.count()) /
                               static_cast<double>(no_load.count())},
-                in_.size(),
+                in_flight_.size(),
                 clock_.now());
         }
     }
@@ -53,7 +53,7 @@
 private:
     manual_clock clock_;
     std::size_t slots_;
-    std::deque<time_point> in_;
+    std::deque<time_point> in_flight_;
 };
 
 TEST(concurrency_limit, finds_the_slots_of_an_upstream)
@@ -92,7 +92,7 @@
     EXPECT_GE(limit.value(), before);
 }
 
-TEST(concurrency_limit, halves_when_nothing_comes_back)
+TEST(concurrency_limit, halves_when_no_call_ends)
 {
     concurrency_limit limit;
     const time_point start = manual_clock().now();
--- a/nutmegusher/policy/entry_gate.cpp
+++ b/nutmegusher/policy/entry_gate.cpp
@@ -12,17 +12,17 @@
 
 // The saturated service has to see a little more than it can take, or it
 // would not be filled: refusals below this share change nothing.
-constexpr double surplus = 0.1;
+constexpr double overload_margin = 0.1;
 // One interval's levels never close more than three quarters of what is open.
-constexpr double deepest_cut = 0.25;
+constexpr double min_cut_factor = 0.25;
 // The trickle that brings news while all is refused: of what is offered.
-constexpr double least_open = 0.05;
+constexpr double min_open_share = 0.05;
 // Reopening: half as much again after the first quiet interval; the step
 // doubles, up to four times the whole. From the trickle to open takes five
 // intervals, half of the second in which service has to be back.
 constexpr double first_step = 0.5;
-constexpr double largest_step = 4.0;
-constexpr std::uint32_t most_doublings = 4;
+constexpr double max_step = 4.0;
+constexpr std::uint32_t max_doublings = 4;
 
 constexpr double rate_weight = 0.5;
 // A customer's rate is taken over about three intervals; from one request in
@@ -35,23 +35,23 @@
 }
 
 // Takes an interval's count into its moving mean.
-void turn(double& mean, double& count, double weight)
+void update_mean(double& mean, double& count, double weight)
 {
     mean += (count - mean) * weight;
     count = 0;
 }
 
 // A customer that sends less than this an interval is forgotten.
-constexpr double forgotten_rate = 0.05;
+constexpr double min_tracked_rate = 0.05;
 // Bounds memory; customers beyond it are let in as unknown ones.
-constexpr std::size_t most_customers = 4096;
-constexpr std::size_t most_classes = 4096;
+constexpr std::size_t max_customers = 4096;
+constexpr std::size_t max_classes = 4096;
 
 } // namespace
 
-std::optional<refused> entry_gate::check(const call_facts& call, time_point now)
+std::optional<refused> entry_gate::check(const call_info& call, time_point now)
 {
-    if (classes_.size() >= most_classes && !classes_.contains(call.work_class))
+    if (classes_.size() >= max_classes && !classes_.contains(call.work_class))
     {
         return std::nullopt;
     }
@@ -61,7 +61,7 @@
         end_interval(gate, now);
     }
     gate.offered += 1;
-    if (gate.customers.size() < most_customers ||
+    if (gate.customers.size() < max_customers ||
         gate.customers.contains(call.customer))
     {
         gate.customers[call.customer].this_interval += 1;
@@ -72,18 +72,18 @@
         gate.passed += 1;
         return std::nullopt;
     }
-    const bool greedy = share < open_share(gate);
+    const bool over_fair_share = share < open_share(gate);
     return refused{
-        greedy ? refusal_reason::fair_share : refusal_reason::overload,
-        come_back(gate, now)};
+        over_fair_share ? refusal_reason::fair_share : refusal_reason::overload,
+        retry_after(gate, now)};
 }
 
-duration entry_gate::come_back(class_gate& gate, time_point now)
+duration entry_gate::retry_after(class_gate& gate, time_point now)
 {
     const double per_second =
         gate.passed_mean / std::chrono::duration<double>(interval).count();
-    const duration wait = gate.returns.next(per_second, now);
-    return std::max(wait, gate.come_back);
+    const duration wait = gate.retry_schedule.next(per_second, now);
+    return std::max(wait, gate.retry_after);
 }
 
 double entry_gate::open_share(const class_gate& gate)
@@ -92,7 +92,7 @@
     {
         return 1.0;
     }
-    return std::max(gate.limit / gate.offered_mean, least_open);
+    return std::max(gate.limit / gate.offered_mean, min_open_share);
 }
 
 double entry_gate::pass_share(const class_gate& gate, std::uint64_t customer)
@@ -107,11 +107,11 @@
         return gate.light_share;
     }
     const double capped = gate.customer_cap / found->second.per_interval;
-    return std::clamp(capped, least_open, 1.0);
+    return std::clamp(capped, min_open_share, 1.0);
 }
 
 void entry_gate::on_level(
-    const call_facts& call, const admission_level& level, time_point now)
+    const call_info& call, const admission_level& level, time_point now)
 {
     const auto found = classes_.find(call.work_class);
     if (found == classes_.end())
@@ -120,11 +120,11 @@
     }
     class_gate& gate = found->second;
     const lane_level& lane = call.bulk ? level.bulk_lane : level.short_lane;
-    gate.level_sum += std::clamp(pass_below(lane) - call.rank, 0.0, 1.0);
+    gate.level_sum += std::clamp(pass_threshold(lane) - call.rank, 0.0, 1.0);
     ++gate.levels;
-    if (level.come_back_after.count() > 0)
+    if (level.retry_after.count() > 0)
     {
-        gate.come_back = level.come_back_after;
+        gate.retry_after = level.retry_after;
     }
     if (now >= gate.interval_end)
     {
@@ -140,12 +140,12 @@
         gate.customers,
         [](const auto& each)
         {
-            return each.second.per_interval < forgotten_rate;
+            return each.second.per_interval < min_tracked_rate;
         });
-    turn(gate.offered_mean, gate.offered, rate_weight);
-    turn(gate.passed_mean, gate.passed, rate_weight);
+    update_mean(gate.offered_mean, gate.offered, rate_weight);
+    update_mean(gate.passed_mean, gate.passed, rate_weight);
     adjust(gate);
-    share_out(gate);
+    compute_shares(gate);
 }
 
 void entry_gate::count_customers(class_gate& gate)
@@ -154,10 +154,10 @@
     for (auto& [customer, rate] : gate.customers)
     {
         const double count = rate.this_interval;
-        turn(rate.per_interval, rate.this_interval, customer_weight);
+        update_mean(rate.per_interval, rate.this_interval, customer_weight);
         light -= heavy(rate.per_interval) ? count : 0;
     }
-    turn(gate.light_mean, light, rate_weight);
+    update_mean(gate.light_mean, light, rate_weight);
 }
 
 void entry_gate::adjust(class_gate& gate)
@@ -171,7 +171,7 @@
     {
         return;
     }
-    if (share < 1.0 - surplus)
+    if (share < 1.0 - overload_margin)
     {
         cut(gate, share);
     }
@@ -184,18 +184,19 @@
 void entry_gate::cut(class_gate& gate, double share)
 {
     const double passing = std::min(gate.limit, gate.passed_mean);
-    const double least = gate.offered_mean * least_open;
-    gate.limit =
-        std::max(passing * std::max(share + surplus, deepest_cut), least);
-    gate.quiet = 0;
+    const double least = gate.offered_mean * min_open_share;
+    gate.limit = std::max(
+        passing * std::max(share + overload_margin, min_cut_factor), least);
+    gate.quiet_intervals = 0;
     gate.just_cut = true;
 }
 
 void entry_gate::reopen(class_gate& gate)
 {
-    const std::uint32_t doublings = std::min(gate.quiet, most_doublings);
-    const double step = std::min(first_step * (1U << doublings), largest_step);
-    ++gate.quiet;
+    const std::uint32_t doublings =
+        std::min(gate.quiet_intervals, max_doublings);
+    const double step = std::min(first_step * (1U << doublings), max_step);
+    ++gate.quiet_intervals;
     gate.limit *= 1.0 + step;
     if (gate.limit > gate.offered_mean * 2.0)
     {
@@ -203,7 +204,7 @@
     }
 }
 
-void entry_gate::share_out(class_gate& gate)
+void entry_gate::compute_shares(class_gate& gate)
 {
     if (gate.limit >= gate.offered_mean)
     {
@@ -220,7 +221,8 @@
     // Each of the others asks for less than any heavy one: they come first.
     double left = gate.offered_mean * open_share(gate);
     const double light = gate.light_mean;
-    gate.light_share = light > left ? std::max(left / light, least_open) : 1.0;
+    gate.light_share =
+        light > left ? std::max(left / light, min_open_share) : 1.0;
     left = std::max(left - light, 0.0);
     gate.customer_cap = heavy_rate * gate.light_share;
     std::sort(rates.begin(), rates.end());
@@ -242,30 +244,30 @@
     return found == classes_.end() ? 1.0 : open_share(found->second);
 }
 
-void chain_levels::on_sub_call_level(
+void sub_call_levels::on_sub_call_level(
     std::uint64_t work_class, const admission_level& level, time_point now)
 {
-    if (classes_.size() >= most_classes && !classes_.contains(work_class))
+    if (classes_.size() >= max_classes && !classes_.contains(work_class))
     {
         return;
     }
-    heard& last = classes_[work_class];
+    reported_level& last = classes_[work_class];
     last.level = level;
-    last.until = now + lifetime;
+    last.expires_at = now + lifetime;
 }
 
 admission_level
-chain_levels::deeper_for(std::uint64_t work_class, time_point now) const
+sub_call_levels::deeper_for(std::uint64_t work_class, time_point now) const
 {
     const auto found = classes_.find(work_class);
-    if (found == classes_.end() || now >= found->second.until)
+    if (found == classes_.end() || now >= found->second.expires_at)
     {
         return {};
     }
     return found->second.level;
 }
 
-admission_level chain_levels::level_for(
+admission_level sub_call_levels::level_for(
     std::uint64_t work_class, const admission_level& own, time_point now) const
 {
     return stricter(own, deeper_for(work_class, now));
--- a/nutmegusher/policy/entry_gate.hpp
+++ b/nutmegusher/policy/entry_gate.hpp
@@ -35,18 +35,18 @@
 class entry_gate
 {
 public:
-    // Decides on a request at the entry. A refusal's `come_back_after` isn't
+    // Decides on a request at the entry. A refusal's `retry_after` isn't
     // spread yet: the caller of this passes it through `spread`. It is the
     // time in which those refused before could all pass.
     [[nodiscard]] std::optional<refused>
-    check(const call_facts& call, time_point now);
+    check(const call_info& call, time_point now);
 
     // What lay ahead of a request of the call's class that was answered: the
     // stricter of `router::service_level` and the answer's `deeper`. (The
     // answering upstream's own level alone would close the gate for one bad
     // upstream among several.)
     void on_level(
-        const call_facts& call, const admission_level& level, time_point now);
+        const call_info& call, const admission_level& level, time_point now);
 
     // The share of the class that is let in now, for the state dump.
     [[nodiscard]] double open_share(std::uint64_t work_class) const;
@@ -78,15 +78,15 @@
         double passed_mean = 0;
         // Requests of customers that aren't heavy, an interval.
         double light_mean = 0;
-        return_schedule returns;
+        return_schedule retry_schedule;
         // Intervals in a row without a refusal.
-        std::uint32_t quiet = 0;
+        std::uint32_t quiet_intervals = 0;
         // The levels of this interval still tell of what was cut already.
         bool just_cut = false;
         // Levels heard in this interval, as shares that pass.
         double level_sum = 0;
         std::size_t levels = 0;
-        duration come_back{0};
+        duration retry_after{0};
         // Requests an interval that a heavy customer may have.
         double customer_cap = 0;
         // Of the requests of all the others.
@@ -99,12 +99,12 @@
 
     static void end_interval(class_gate& gate, time_point now);
     static void count_customers(class_gate& gate);
-    [[nodiscard]] static duration come_back(class_gate& gate, time_point now);
+    [[nodiscard]] static duration retry_after(class_gate& gate, time_point now);
     static void adjust(class_gate& gate);
     static void cut(class_gate& gate, double share);
     static void reopen(class_gate& gate);
     [[nodiscard]] static double open_share(const class_gate& gate);
-    static void share_out(class_gate& gate);
+    static void compute_shares(class_gate& gate);
     [[nodiscard]] static double
     pass_share(const class_gate& gate, std::uint64_t customer);
 
@@ -118,7 +118,7 @@
 //
 // Only levels of sub-calls go in: a daemon that put in those of the requests
 // which enter at it would hand them back and forth with others for ever.
-class chain_levels
+class sub_call_levels
 {
 public:
     // What lay ahead of a sub-call made for a request of the class: as for
@@ -141,13 +141,13 @@
     static constexpr duration lifetime = std::chrono::milliseconds(500);
 
 private:
-    struct heard
+    struct reported_level
     {
         admission_level level;
-        time_point until;
+        time_point expires_at;
     };
 
-    std::unordered_map<std::uint64_t, heard> classes_;
+    std::unordered_map<std::uint64_t, reported_level> classes_;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/entry_gate_test.cpp
+++ b/nutmegusher/policy/entry_gate_test.cpp
@@ -32,7 +32,8 @@
         const double share =
             passed > capacity ? capacity / static_cast<double>(passed) : 1.0;
         admission_level level;
-        level.short_lane = lane_level_below(share < 1.0 ? 4.0 + share : 10.0);
+        level.short_lane =
+            level_for_threshold(share < 1.0 ? 4.0 + share : 10.0);
         under_test.on_level(call, level, clock.now());
         return passed;
     }
@@ -40,7 +41,7 @@
     manual_clock clock;
     random_engine engine{1};
     entry_gate under_test;
-    call_facts call;
+    call_info call;
 };
 
 TEST_F(gate, lets_everything_in_while_nothing_is_refused)
@@ -89,16 +90,16 @@
     EXPECT_FALSE(under_test.check(call, clock.now()).has_value());
 }
 
-TEST(chain_levels, forgets_what_was_heard_long_ago)
+TEST(sub_call_levels, drops_expired_levels)
 {
     manual_clock clock;
-    chain_levels levels;
+    sub_call_levels levels;
     admission_level level;
     level.short_lane = {3, 100};
     levels.on_sub_call_level(1, level, clock.now());
     EXPECT_EQ(levels.deeper_for(1, clock.now()), level);
     EXPECT_EQ(levels.deeper_for(2, clock.now()), admission_level{});
-    clock.advance(chain_levels::lifetime);
+    clock.advance(sub_call_levels::lifetime);
     EXPECT_EQ(levels.deeper_for(1, clock.now()), admission_level{});
 }
 
--- a/nutmegusher/policy/pressure_meter.cpp
+++ b/nutmegusher/policy/load_meter.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/policy/pressure_meter.hpp"
+#include "nutmegusher/policy/load_meter.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -21,17 +21,18 @@
 }
 
 // The level that lets in, by strict rank, as many as could start.
-lane_level level_that_fits(std::span<const rank_counts> seen, double room)
+lane_level
+level_for_capacity(std::span<const rank_counts> seen, double capacity)
 {
     for (std::size_t rank = 0; rank < seen.size(); ++rank)
     {
         const double offered = seen[rank].offered;
-        if (offered <= room)
+        if (offered <= capacity)
         {
-            room -= offered;
+            capacity -= offered;
             continue;
         }
-        const double share = 1.0 - room / offered;
+        const double share = 1.0 - capacity / offered;
         return {
             static_cast<std::uint8_t>(rank),
             static_cast<std::uint16_t>(share * 1000)};
@@ -53,16 +54,16 @@
     {
         return value_;
     }
-    const double age = to_seconds(now - updated_) / to_seconds(memory);
+    const double age = to_seconds(now - updated_) / to_seconds(time_constant);
     return value_ * std::exp(-age);
 }
 
 double decaying_count::per_second(time_point now) const
 {
-    return value(now) / to_seconds(memory);
+    return value(now) / to_seconds(time_constant);
 }
 
-void pressure_meter::turn_window(time_point now)
+void load_meter::rotate_window(time_point now)
 {
     if (now < current_until_)
     {
@@ -74,33 +75,33 @@
     current_until_ = now + window;
 }
 
-void pressure_meter::on_offered(std::uint8_t rank, time_point now)
+void load_meter::on_offered(std::uint8_t rank, time_point now)
 {
-    turn_window(now);
+    rotate_window(now);
     ++current_[index_of(rank)].offered;
     offered_[index_of(rank)].add(1, now);
 }
 
-void pressure_meter::on_refused(std::uint8_t rank, time_point now)
+void load_meter::on_refused(std::uint8_t rank, time_point now)
 {
-    turn_window(now);
+    rotate_window(now);
     ++current_[index_of(rank)].refused;
     refused_[index_of(rank)].add(1, now);
 }
 
-void pressure_meter::on_started(std::uint8_t rank, time_point now)
+void load_meter::on_started(std::uint8_t rank, time_point now)
 {
-    turn_window(now);
+    rotate_window(now);
     ++current_[index_of(rank)].started;
 }
 
-void pressure_meter::on_finished(time_point now)
+void load_meter::on_finished(time_point now)
 {
     finished_.add(1, now);
 }
 
 double
-pressure_meter::better_per_second(std::uint8_t rank, time_point now) const
+load_meter::better_ranks_per_second(std::uint8_t rank, time_point now) const
 {
     double sum = 0;
     for (std::size_t index = 0; index < index_of(rank); ++index)
@@ -110,18 +111,17 @@
     return sum;
 }
 
-double
-pressure_meter::refused_per_second(std::uint8_t rank, time_point now) const
+double load_meter::refused_per_second(std::uint8_t rank, time_point now) const
 {
     return refused_[index_of(rank)].per_second(now);
 }
 
-double pressure_meter::finished_per_second(time_point now) const
+double load_meter::finished_per_second(time_point now) const
 {
     return finished_.per_second(now);
 }
 
-lane_level pressure_meter::level(time_point now) const
+lane_level load_meter::level(time_point now) const
 {
     if (now >= current_until_ + window)
     {
@@ -137,12 +137,12 @@
         refused += rank.refused;
         started += rank.started;
     }
-    const double lacking = std::min(offered - started, refused);
-    if (lacking <= offered * noticeable)
+    const double shortfall = std::min(offered - started, refused);
+    if (shortfall <= offered * min_refused_share)
     {
         return {};
     }
-    return level_that_fits(seen, offered - lacking);
+    return level_for_capacity(seen, offered - shortfall);
 }
 
 } // namespace nutmegusher::internal
--- a/nutmegusher/policy/rank_queue.cpp
+++ b/nutmegusher/policy/rank_queue.cpp
@@ -6,7 +6,7 @@
 namespace nutmegusher::internal
 {
 
-std::size_t rank_queue::level_of(const call_facts& call)
+std::size_t rank_queue::level_of(const call_info& call)
 {
     const std::size_t rank = std::min<std::size_t>(call.rank, rank_count - 1);
     return rank * 2 + (call.sub_call ? 0 : 1);
@@ -14,59 +14,61 @@
 
 void rank_queue::push(const waiting_call& call)
 {
-    const std::size_t index = level_of(call.facts);
-    level& where = levels_[index];
-    const auto line = line_for(where, call.facts.customer);
-    const auto place = line->calls.insert(line->calls.end(), call);
-    resize_line(where, *line, line->calls.size() - 1);
-    ++where.size;
-    positions_.emplace(call.facts.ticket, position{index, line, place});
-    expiries_.emplace(call.latest_start, call.facts.ticket);
+    const std::size_t index = level_of(call.info);
+    priority_level& level = levels_[index];
+    const auto customer_queue = queue_for(level, call.info.customer);
+    const auto place =
+        customer_queue->calls.insert(customer_queue->calls.end(), call);
+    update_length(level, *customer_queue, customer_queue->calls.size() - 1);
+    ++level.size;
+    positions_.emplace(
+        call.info.ticket, position{index, customer_queue, place});
+    expiries_.emplace(call.latest_start, call.info.ticket);
 }
 
-rank_queue::line_list::iterator
-rank_queue::line_for(level& where, std::uint64_t customer)
+rank_queue::customer_queues::iterator
+rank_queue::queue_for(priority_level& level, std::uint64_t customer)
 {
-    const auto found = where.by_customer.find(customer);
-    if (found != where.by_customer.end())
+    const auto found = level.by_customer.find(customer);
+    if (found != level.by_customer.end())
     {
         return found->second;
     }
-    const auto added =
-        where.turns.insert(where.turns.end(), line{customer, {}});
-    where.by_customer.emplace(customer, added);
+    const auto added = level.round_robin.insert(
+        level.round_robin.end(), customer_queue{customer, {}});
+    level.by_customer.emplace(customer, added);
     return added;
 }
 
-void rank_queue::resize_line(
-    level& where, const line& changed, std::size_t before)
+void rank_queue::update_length(
+    priority_level& level, const customer_queue& changed, std::size_t before)
 {
     const std::size_t after = changed.calls.size();
     if (before > 0)
     {
-        where.by_length.erase({before, changed.customer});
+        level.by_length.erase({before, changed.customer});
     }
     if (after > 0)
     {
-        where.by_length.emplace(after, changed.customer);
+        level.by_length.emplace(after, changed.customer);
     }
 }
 
 waiting_call rank_queue::take(const position& from)
 {
-    level& where = levels_[from.level];
-    const auto line = from.line;
+    priority_level& level = levels_[from.priority_level];
+    const auto customer_queue = from.customer_queue;
     waiting_call taken = *from.call;
-    const std::size_t before = line->calls.size();
-    line->calls.erase(from.call);
-    resize_line(where, *line, before);
-    --where.size;
-    expiries_.erase({taken.latest_start, taken.facts.ticket});
-    positions_.erase(taken.facts.ticket);
-    if (line->calls.empty())
+    const std::size_t before = customer_queue->calls.size();
+    customer_queue->calls.erase(from.call);
+    update_length(level, *customer_queue, before);
+    --level.size;
+    expiries_.erase({taken.latest_start, taken.info.ticket});
+    positions_.erase(taken.info.ticket);
+    if (customer_queue->calls.empty())
     {
-        where.by_customer.erase(line->customer);
-        where.turns.erase(line);
+        level.by_customer.erase(customer_queue->customer);
+        level.round_robin.erase(customer_queue);
     }
     return taken;
 }
@@ -79,16 +81,17 @@
 
 std::optional<waiting_call> rank_queue::pop()
 {
-    for (level& where : levels_)
+    for (priority_level& level : levels_)
     {
-        if (where.size == 0)
+        if (level.size == 0)
         {
             continue;
         }
-        const auto line = where.turns.begin();
+        const auto customer_queue = level.round_robin.begin();
         // The next customer's turn, before the line may go away.
-        where.turns.splice(where.turns.end(), where.turns, line);
-        return take_ticket(line->calls.front().facts.ticket);
+        level.round_robin.splice(
+            level.round_robin.end(), level.round_robin, customer_queue);
+        return take_ticket(customer_queue->calls.front().info.ticket);
     }
     return std::nullopt;
 }
@@ -122,59 +125,59 @@
 }
 
 std::size_t
-rank_queue::calls_of(const level& where, std::uint64_t customer) const
+rank_queue::calls_of(const priority_level& level, std::uint64_t customer) const
 {
-    const auto found = where.by_customer.find(customer);
-    return found == where.by_customer.end() ? 0 : found->second->calls.size();
+    const auto found = level.by_customer.find(customer);
+    return found == level.by_customer.end() ? 0 : found->second->calls.size();
 }
 
-std::optional<waiting_call> rank_queue::displace_for(const call_facts& arrival)
+std::optional<waiting_call> rank_queue::evict_for(const call_info& arrival)
 {
-    const std::size_t own = level_of(arrival);
-    for (std::size_t index = levels_.size(); index-- > own;)
+    const std::size_t own_level = level_of(arrival);
+    for (std::size_t index = levels_.size(); index-- > own_level;)
     {
-        const level& where = levels_[index];
-        if (where.size == 0)
+        const priority_level& level = levels_[index];
+        if (level.size == 0)
         {
             continue;
         }
-        const auto& [length, customer] = *where.by_length.rbegin();
-        const std::size_t mine = calls_of(where, arrival.customer);
-        if (index == own && length < mine + 2)
+        const auto& [length, customer] = *level.by_length.rbegin();
+        const std::size_t own_calls = calls_of(level, arrival.customer);
+        if (index == own_level && length < own_calls + 2)
         {
             return std::nullopt;
         }
-        const auto line = where.by_customer.at(customer);
-        return take_ticket(line->calls.back().facts.ticket);
+        const auto customer_queue = level.by_customer.at(customer);
+        return take_ticket(customer_queue->calls.back().info.ticket);
     }
     return std::nullopt;
 }
 
-std::size_t rank_queue::ahead_of(const call_facts& arrival) const
+std::size_t rank_queue::ahead_of(const call_info& arrival) const
 {
-    const std::size_t own = level_of(arrival);
+    const std::size_t own_level = level_of(arrival);
     std::size_t ahead = 0;
-    for (std::size_t index = 0; index < own; ++index)
+    for (std::size_t index = 0; index < own_level; ++index)
     {
         ahead += levels_[index].size;
     }
-    const level& where = levels_[own];
-    const std::size_t mine = calls_of(where, arrival.customer);
+    const priority_level& level = levels_[own_level];
+    const std::size_t own_calls = calls_of(level, arrival.customer);
     // Each other customer gets as many turns as this one before its newest.
-    const std::size_t turns = (mine + 1) * where.turns.size();
-    return ahead + std::min(where.size, turns);
+    const std::size_t turns = (own_calls + 1) * level.round_robin.size();
+    return ahead + std::min(level.size, turns);
 }
 
-bool rank_queue::heaviest(const call_facts& arrival) const
+bool rank_queue::has_most_calls(const call_info& arrival) const
 {
-    const level& where = levels_[level_of(arrival)];
-    if (where.by_length.empty())
+    const priority_level& level = levels_[level_of(arrival)];
+    if (level.by_length.empty())
     {
         return false;
     }
-    const std::size_t mine = calls_of(where, arrival.customer);
-    return mine > 1 && mine == where.by_length.rbegin()->first &&
-           where.turns.size() > 1;
+    const std::size_t own_calls = calls_of(level, arrival.customer);
+    return own_calls > 1 && own_calls == level.by_length.rbegin()->first &&
+           level.round_robin.size() > 1;
 }
 
 } // namespace nutmegusher::internal
--- a/nutmegusher/policy/rank_queue.hpp
+++ b/nutmegusher/policy/rank_queue.hpp
@@ -27,7 +27,7 @@
 // One waiting call.
 struct waiting_call
 {
-    call_facts facts;
+    call_info info;
     // Waiting longer than this helps nobody.
     time_point latest_start;
 };
@@ -64,31 +64,32 @@
     // rank, the newest call of the customer who has most calls there. None
     // where that would not be better: the rank is as good as the arrival's,
     // and no customer there has two calls more than the arrival's.
-    std::optional<waiting_call> displace_for(const call_facts& arrival);
+    std::optional<waiting_call> evict_for(const call_info& arrival);
 
     // How many waiting calls would run before `arrival`.
-    [[nodiscard]] std::size_t ahead_of(const call_facts& arrival) const;
+    [[nodiscard]] std::size_t ahead_of(const call_info& arrival) const;
 
     // Whether the arrival's customer has most calls at its level, and more
     // than one.
-    [[nodiscard]] bool heaviest(const call_facts& arrival) const;
+    [[nodiscard]] bool has_most_calls(const call_info& arrival) const;
 
 private:
     // One customer's calls at one level.
-    struct line
+    struct customer_queue
     {
         std::uint64_t customer = 0;
         std::list<waiting_call> calls;
     };
 
-    using line_list = std::list<line>;
+    using customer_queues = std::list<customer_queue>;
 
     // One rank, sub-calls or new requests.
-    struct level
+    struct priority_level
     {
         // In the order of their turns.
-        line_list turns;
-        std::unordered_map<std::uint64_t, line_list::iterator> by_customer;
+        customer_queues round_robin;
+        std::unordered_map<std::uint64_t, customer_queues::iterator>
+            by_customer;
         // (calls, customer), to find the longest.
         std::set<std::pair<std::size_t, std::uint64_t>> by_length;
         std::size_t size = 0;
@@ -96,20 +97,24 @@
 
     struct position
     {
-        std::size_t level = 0;
-        line_list::iterator line;
+        std::size_t priority_level = 0;
+        customer_queues::iterator customer_queue;
         std::list<waiting_call>::iterator call;
     };
 
-    static std::size_t level_of(const call_facts& call);
+    static std::size_t level_of(const call_info& call);
     [[nodiscard]] std::size_t
-    calls_of(const level& where, std::uint64_t customer) const;
-    line_list::iterator line_for(level& where, std::uint64_t customer);
-    void resize_line(level& where, const line& changed, std::size_t before);
+    calls_of(const priority_level& level, std::uint64_t customer) const;
+    customer_queues::iterator
+    queue_for(priority_level& level, std::uint64_t customer);
+    void update_length(
+        priority_level& level,
+        const customer_queue& changed,
+        std::size_t before);
     waiting_call take(const position& from);
     waiting_call take_ticket(ticket_id ticket);
 
-    std::array<level, rank_count * 2> levels_;
+    std::array<priority_level, rank_count * 2> levels_;
     std::unordered_map<ticket_id, position> positions_;
     std::set<std::pair<time_point, ticket_id>> expiries_;
 };
--- a/nutmegusher/policy/router.cpp
+++ b/nutmegusher/policy/router.cpp
@@ -149,7 +149,7 @@
 }
 
 std::optional<upstream_handle> router::choose(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now,
     random_engine& engine)
@@ -198,7 +198,7 @@
 }
 
 router::pick router::choose_by_time(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now,
     random_engine& engine)
@@ -234,7 +234,7 @@
 }
 
 bool router::takes_elsewhere(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now) const
 {
@@ -249,7 +249,7 @@
 }
 
 bool router::worth_moving(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now) const
 {
@@ -264,7 +264,7 @@
 }
 
 router::pick router::due_probe(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now)
 {
@@ -529,11 +529,11 @@
         {
             const admission_level level = each.health.level(now);
             values_.push_back(
-                pass_below(bulk ? level.bulk_lane : level.short_lane));
+                pass_threshold(bulk ? level.bulk_lane : level.short_lane));
         }
     }
     return values_.empty() ? lane_level{}
-                           : lane_level_below(upper_median(values_));
+                           : level_for_threshold(upper_median(values_));
 }
 
 admission_level router::service_level(time_point now) const
@@ -543,8 +543,8 @@
     all.bulk_lane = median_level(true, now);
     for (const entry& each : entries_)
     {
-        all.come_back_after = std::max(
-            all.come_back_after, each.health.level(now).come_back_after);
+        all.retry_after =
+            std::max(all.retry_after, each.health.level(now).retry_after);
     }
     return all;
 }
--- a/nutmegusher/policy/router.hpp
+++ b/nutmegusher/policy/router.hpp
@@ -111,7 +111,7 @@
     // The upstream for the call, without those in `tried`. None where all
     // were tried or are leaving.
     [[nodiscard]] std::optional<upstream_handle> choose(
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         time_point now,
         random_engine& engine);
@@ -126,14 +126,14 @@
     // the service refuses anything. Where one does, slowness is load, and what
     // is given up half done would be done again.
     [[nodiscard]] bool worth_moving(
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
 
     // Whether an upstream outside of `tried` would take the call now, as far
     // as levels and observations tell.
     [[nodiscard]] bool takes_elsewhere(
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
 
@@ -207,7 +207,7 @@
     [[nodiscard]] bool
     healthy(const entry& each, bool bulk, time_point now) const;
     pick due_probe(
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         time_point now);
     template <class Accept>
@@ -231,7 +231,7 @@
     told_cost(const entry& each, bool bulk, time_point now) const;
     void learn_means(const upstream_load& load);
     [[nodiscard]] pick choose_by_time(
-        const call_facts& call,
+        const call_info& call,
         std::span<const upstream_handle> tried,
         time_point now,
         random_engine& engine);
--- a/nutmegusher/policy/router_leaving_test.cpp
+++ b/nutmegusher/policy/router_leaving_test.cpp
@@ -19,7 +19,7 @@
         candidate{host_id("leaves"), network_distance::same_data_center},
         candidate{host_id("stays"), network_distance::same_region}};
     route.update(both, clock.now());
-    call_facts call;
+    call_info call;
     call.deadline = clock.now() + std::chrono::hours(1);
     const auto first = route.choose(call, {}, clock.now(), engine);
     ASSERT_TRUE(first);
@@ -46,7 +46,7 @@
         candidate{host_id("gone"), network_distance::same_data_center},
         candidate{host_id("stays"), network_distance::same_region}};
     route.update(both, clock.now());
-    call_facts call;
+    call_info call;
     call.deadline = clock.now() + std::chrono::hours(1);
     const auto choose = [&]
     {
--- a/nutmegusher/policy/router_test.cpp
+++ b/nutmegusher/policy/router_test.cpp
@@ -73,7 +73,7 @@
     random_engine engine{1};
     router route;
     std::vector<candidate> candidates;
-    call_facts call;
+    call_info call;
 };
 
 TEST_F(routing, stays_in_the_near_data_center)
--- a/nutmegusher/policy/service_times.cpp
+++ b/nutmegusher/policy/service_times.cpp
@@ -11,16 +11,16 @@
 
 // Moving means follow a change within about eight answers, and keep two
 // thirds of their noise out.
-constexpr double weight_of_new = 1.0 / 8;
+constexpr double recent_weight = 1.0 / 8;
 // The no-load time is what latency is held against: it moves four times as
 // slowly, so that a short slowdown doesn't become the norm.
-constexpr double no_load_weight = weight_of_new / 4;
+constexpr double no_load_weight = recent_weight / 4;
 // Something has to be taken for the no-load time at first: two rounds of the
 // first limit. The first answers alone are the quickest of their round.
-constexpr std::uint64_t first_samples = 32;
+constexpr std::uint64_t initial_samples = 32;
 // Classes are declared by operators; more than this is a fault elsewhere, and
 // the surplus is served without an estimate.
-constexpr std::size_t most_classes = 4096;
+constexpr std::size_t max_classes = 4096;
 
 double to_seconds(duration time)
 {
@@ -35,15 +35,16 @@
 
 // Moves the mean towards a sample; the first samples weigh the same, or the
 // very first would count for long.
-void blend(double& mean, double sample, double weight, std::uint64_t samples)
+void update_mean(
+    double& mean, double sample, double weight, std::uint64_t samples)
 {
-    const double even = 1.0 / static_cast<double>(samples);
-    mean += (sample - mean) * std::max(weight, even);
+    const double equal_weight = 1.0 / static_cast<double>(samples);
+    mean += (sample - mean) * std::max(weight, equal_weight);
 }
 
 // Two deviations of a steady mean of exponential times: what lies below the
 // no-load time by more than this isn't noise.
-constexpr double clearly_below = 0.8;
+constexpr double no_load_tolerance = 0.8;
 
 double inflation(const class_times& times, double seconds)
 {
@@ -53,38 +54,40 @@
 } // namespace
 
 double service_times::record(
-    std::uint64_t work_class, call_time time, bool calm, time_point now)
+    std::uint64_t work_class, call_time time, bool low_load, time_point now)
 {
-    if (classes_.size() >= most_classes && !classes_.contains(work_class))
+    if (classes_.size() >= max_classes && !classes_.contains(work_class))
     {
         return 1.0;
     }
     class_times& times = classes_[work_class];
     const double seconds = to_seconds(time.own);
     ++times.samples;
-    blend(times.recent, to_seconds(time.whole), weight_of_new, times.samples);
-    blend(times.steady, seconds, no_load_weight, times.samples);
+    update_mean(
+        times.recent, to_seconds(time.total), recent_weight, times.samples);
+    update_mean(times.slow_mean, seconds, no_load_weight, times.samples);
     times.last_sample = now;
-    learn_no_load(times, seconds, calm);
-    blend(typical_, times.no_load, no_load_weight, ++samples_);
+    update_no_load(times, seconds, low_load);
+    update_mean(typical_, times.no_load, no_load_weight, ++samples_);
     return inflation(times, seconds);
 }
 
-void service_times::learn_no_load(class_times& times, double seconds, bool calm)
+void service_times::update_no_load(
+    class_times& times, double seconds, bool low_load)
 {
-    if (calm || times.samples <= first_samples)
+    if (low_load || times.samples <= initial_samples)
     {
-        blend(times.no_load, seconds, no_load_weight, times.samples);
+        update_mean(times.no_load, seconds, no_load_weight, times.samples);
     }
     // What is seen under load can only be too long: where it lies below the
     // no-load time, that one was learned under load.
-    if (times.steady < times.no_load * clearly_below)
+    if (times.slow_mean < times.no_load * no_load_tolerance)
     {
-        times.no_load = times.steady;
+        times.no_load = times.slow_mean;
     }
 }
 
-double service_times::record_at_least(
+double service_times::record_lower_bound(
     std::uint64_t work_class, call_time time, time_point now)
 {
     const auto found = classes_.find(work_class);
@@ -94,10 +97,10 @@
     }
     class_times& times = found->second;
     const double seconds = to_seconds(time.own);
-    const double whole = to_seconds(time.whole);
-    if (whole > times.recent)
+    const double total = to_seconds(time.total);
+    if (total > times.recent)
     {
-        blend(times.recent, whole, weight_of_new, times.samples);
+        update_mean(times.recent, total, recent_weight, times.samples);
         times.last_sample = now;
     }
     return inflation(times, seconds);
@@ -112,7 +115,7 @@
     }
     const class_times& times = found->second;
     const double idle = to_seconds(now - times.last_sample);
-    const double halvings = std::max(0.0, idle / to_seconds(memory) - 1.0);
+    const double halvings = std::max(0.0, idle / to_seconds(half_life) - 1.0);
     return from_seconds(times.recent * std::exp2(-halvings));
 }
 
--- a/nutmegusher/policy/service_times.hpp
+++ b/nutmegusher/policy/service_times.hpp
@@ -17,7 +17,7 @@
 // How long one call took: as its caller saw it, and without sub-calls.
 struct call_time
 {
-    duration whole{0};
+    duration total{0};
     duration own{0};
 };
 
@@ -27,7 +27,7 @@
     // Moving mean of recent answers, whole, in seconds. 0: none seen yet.
     double recent = 0;
     // The same of their own time, over four times as many answers.
-    double steady = 0;
+    double slow_mean = 0;
     // The mean own time while the upstream had room. 0: none seen yet.
     double no_load = 0;
     time_point last_sample;
@@ -37,19 +37,22 @@
 class service_times
 {
 public:
-    // An answer took `time`. `calm`: the upstream had room when it came,
+    // An answer took `time`. `low_load`: the upstream had room when it came,
     // so that it counts towards the no-load time.
     // Returns how many times the no-load time its own time is.
-    double
-    record(std::uint64_t work_class, call_time time, bool calm, time_point now);
+    double record(
+        std::uint64_t work_class,
+        call_time time,
+        bool low_load,
+        time_point now);
 
     // A call was given up after `time`: what it takes is at least that.
     // Returns how many times the no-load time that is.
-    double
-    record_at_least(std::uint64_t work_class, call_time time, time_point now);
+    double record_lower_bound(
+        std::uint64_t work_class, call_time time, time_point now);
 
     // What a call of the class will take, most likely. Zero where nothing is
-    // known. Without new samples the estimate halves every `memory`, so that
+    // known. Without new samples the estimate halves every `half_life`, so that
     // a class that was refused for being too slow is tried again.
     [[nodiscard]] duration
     expected(std::uint64_t work_class, time_point now) const;
@@ -63,10 +66,10 @@
 
     // Half a second: two tries of a refused class within the second in which
     // service has to be back after a surge.
-    static constexpr duration memory = std::chrono::milliseconds(500);
+    static constexpr duration half_life = std::chrono::milliseconds(500);
 
 private:
-    void learn_no_load(class_times& times, double seconds, bool calm);
+    void update_no_load(class_times& times, double seconds, bool low_load);
 
     std::unordered_map<std::uint64_t, class_times> classes_;
     double typical_ = 0;
--- a/nutmegusher/policy/shed_control.hpp
+++ b/nutmegusher/policy/shed_control.hpp
@@ -29,8 +29,8 @@
 class shed_control
 {
 public:
-    // A call came that will hold a slot for `hold`, if it is let in.
-    void on_arrival(duration hold, time_point now);
+    // A call came that will hold a slot for `slot_time`, if it is let in.
+    void on_arrival(duration slot_time, time_point now);
 
     // `backlog`: the slot time that the waiting calls will need.
     void update(std::size_t slots, duration backlog, time_point now);
@@ -47,12 +47,12 @@
     }
 
     // Ranks that may be turned away whole; a fourth one would leave nothing.
-    static constexpr double highest_level = 3;
+    static constexpr double max_level = 3;
 
 private:
     void decay(time_point now);
     // Units a second and unit of excess, for the lasting part.
-    [[nodiscard]] double speed(double excess) const;
+    [[nodiscard]] double integral_gain(double excess) const;
 
     // Slot seconds asked for a second, as a moving mean.
     double rate_ = 0;
@@ -60,7 +60,7 @@
     time_point updated_at_;
     double demand_ = 0;
     // The part of the level that follows the sum of all excess.
-    double lasting_ = 0;
+    double integral_ = 0;
     double level_ = 0;
 };
 
--- a/nutmegusher/policy/shed_control_test.cpp
+++ b/nutmegusher/policy/shed_control_test.cpp
@@ -1,9 +1,9 @@
 // The loop of a full deep service and the entries that turn work away: requests
 // that make ten calls one after the other, and a burst of twice the slots.
-#include "nutmegusher/policy/caller_census.hpp"
 #include "nutmegusher/policy/retry_allowance.hpp"
-#include "nutmegusher/policy/shed_board.hpp"
 #include "nutmegusher/policy/shed_control.hpp"
+#include "nutmegusher/policy/shed_table.hpp"
+#include "nutmegusher/policy/sub_call_classifier.hpp"
 
 #include <gtest/gtest.h>
 
@@ -21,15 +21,16 @@
 class deep_service
 {
 public:
-    // One step with so many new requests a second; `obey`: entries listen.
-    void step(double requests_per_second, bool obey)
+    // One step with so many new requests a second; `entries_shed`: entries
+    // listen.
+    void step(double requests_per_second, bool entries_shed)
     {
         now_ += 1ms;
         offered_ += requests_per_second / 1000;
         while (offered_ >= 1)
         {
             offered_ -= 1;
-            enter(obey);
+            enter(entries_shed);
         }
         work();
     }
@@ -56,11 +57,11 @@
         int left_ms = 20;
     };
 
-    void enter(bool obey)
+    void enter(bool entries_shed)
     {
         ++entered_;
         const double fraction = static_cast<double>(entered_ * 37 % 100) / 100;
-        if (obey && is_shed(control_.level(), 0, fraction))
+        if (entries_shed && is_shed(control_.level(), 0, fraction))
         {
             return;
         }
@@ -160,7 +161,7 @@
 }
 
 // All entries were deaf for two seconds, as after a mass restart.
-TEST(shed_control, a_full_pipeline_leaves_no_lasting_hole)
+TEST(shed_control, recovers_throughput_after_entries_ignored_the_level)
 {
     deep_service service;
     for (int i = 0; i < 2000; ++i)
@@ -190,7 +191,7 @@
     }
 }
 
-TEST(shed_board, ranks_are_turned_away_one_after_the_other)
+TEST(shed_table, ranks_are_turned_away_one_after_the_other)
 {
     EXPECT_FALSE(is_shed(0.0, 0, 0.0));
     EXPECT_TRUE(is_shed(0.5, 0, 0.4));
@@ -199,56 +200,56 @@
     EXPECT_TRUE(is_shed(1.5, 1, 0.4));
 }
 
-TEST(shed_board, a_route_hears_only_of_services_on_its_way)
+TEST(shed_table, a_route_sees_only_services_on_its_call_path)
 {
     const time_point now{std::chrono::hours(1)};
-    shed_board board;
-    board.note(1, {service_name("deep"), 0.8}, now);
-    board.note(2, {service_name("other"), 0.0}, now);
-    EXPECT_DOUBLE_EQ(board.level(1, now), 0.8);
-    EXPECT_DOUBLE_EQ(board.level(2, now), 0.0);
-    EXPECT_DOUBLE_EQ(board.level(3, now), 0.0);
+    shed_table table;
+    table.record(1, {service_name("deep"), 0.8}, now);
+    table.record(2, {service_name("other"), 0.0}, now);
+    EXPECT_DOUBLE_EQ(table.level(1, now), 0.8);
+    EXPECT_DOUBLE_EQ(table.level(2, now), 0.0);
+    EXPECT_DOUBLE_EQ(table.level(3, now), 0.0);
 }
 
 // All of a route is turned away, so none of its answers tells of the level.
-TEST(shed_board, a_level_is_followed_through_other_routes)
+TEST(shed_table, a_level_is_followed_through_other_routes)
 {
     time_point now{std::chrono::hours(1)};
-    shed_board board;
-    board.note(1, {service_name("deep"), 1.0}, now);
+    shed_table table;
+    table.record(1, {service_name("deep"), 1.0}, now);
     for (int i = 0; i < 100; ++i)
     {
         now += 100ms;
-        board.note(2, {service_name("deep"), 0.1}, now);
+        table.record(2, {service_name("deep"), 0.1}, now);
     }
-    EXPECT_NEAR(board.level(1, now), 0.1, 0.01);
-    EXPECT_DOUBLE_EQ(board.level(1, now + 3s), 0.0) << "nothing heard since";
+    EXPECT_NEAR(table.level(1, now), 0.1, 0.01);
+    EXPECT_DOUBLE_EQ(table.level(1, now + 3s), 0.0) << "nothing heard since";
 }
 
-TEST(caller_census, a_route_called_from_one_service_alone_is_a_sub_call)
+TEST(sub_call_classifier, a_route_called_from_one_service_alone_is_a_sub_call)
 {
-    caller_census census;
+    sub_call_classifier classifier;
     const service_name fichas("fichas");
     const service_name archive("archive");
     for (int i = 0; i < 30; ++i)
     {
-        census.note(1, archive);
-        census.note(2, i % 2 == 0 ? fichas : archive);
-        EXPECT_FALSE(i < 15 && census.is_sub_call(1));
+        classifier.record(1, archive);
+        classifier.record(2, i % 2 == 0 ? fichas : archive);
+        EXPECT_FALSE(i < 15 && classifier.is_sub_call(1));
     }
-    EXPECT_TRUE(census.is_sub_call(1));
-    EXPECT_FALSE(census.is_sub_call(2));
-    EXPECT_FALSE(census.is_sub_call(3));
+    EXPECT_TRUE(classifier.is_sub_call(1));
+    EXPECT_FALSE(classifier.is_sub_call(2));
+    EXPECT_FALSE(classifier.is_sub_call(3));
 }
 
-TEST(caller_census, with_one_calling_service_nothing_is_told)
+TEST(sub_call_classifier, with_one_calling_service_no_route_is_a_sub_call)
 {
-    caller_census census;
+    sub_call_classifier classifier;
     for (int i = 0; i < 100; ++i)
     {
-        census.note(1, service_name("fichas"));
+        classifier.record(1, service_name("fichas"));
     }
-    EXPECT_FALSE(census.is_sub_call(1));
+    EXPECT_FALSE(classifier.is_sub_call(1));
 }
 
 TEST(retry_allowance, repeats_stay_a_share_of_the_calls)
--- a/nutmegusher/policy/shed_order.cpp
+++ b/nutmegusher/policy/shed_shares.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/policy/shed_order.hpp"
+#include "nutmegusher/policy/shed_shares.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -20,22 +20,22 @@
 
 } // namespace
 
-double shed_order::count_of(const one_class& one, time_point now)
+double shed_shares::count_of(const class_load& one, time_point now)
 {
     using seconds = std::chrono::duration<double>;
     const double halvings = seconds(now - one.counted_at) / seconds(half_life);
     return one.count * std::exp2(-std::max(halvings, 0.0));
 }
 
-double shed_order::cost_of(const one_class& one) const
+double shed_shares::cost_of(const class_load& one) const
 {
     const double known = one.elapsed > 0 ? one.elapsed : mean_elapsed_;
     return known > 0 ? known : 1.0;
 }
 
-void shed_order::on_request(std::uint64_t work_class, time_point now)
+void shed_shares::on_request(std::uint64_t work_class, time_point now)
 {
-    if (classes_.size() >= most_classes && !classes_.contains(work_class))
+    if (classes_.size() >= max_classes && !classes_.contains(work_class))
     {
         classes_.clear();
     }
@@ -44,7 +44,7 @@
     one.counted_at = now;
 }
 
-void shed_order::on_answer(std::uint64_t work_class, duration elapsed)
+void shed_shares::on_answer(std::uint64_t work_class, duration elapsed)
 {
     const double seconds = std::chrono::duration<double>(elapsed).count();
     if (seconds <= 0)
@@ -60,15 +60,15 @@
 }
 
 // Shares are `factor * cost`, at most 1: the factor at which the classes lose
-// `part` of all requests together. What a class at its bound can't lose falls
-// to the others, so the costliest are settled first.
-double shed_order::share_of(
-    std::uint64_t work_class, double part, time_point now) const
+// `shed_share` of all requests together. What a class at its bound can't lose
+// falls to the others, so the costliest are settled first.
+double shed_shares::share_of(
+    std::uint64_t work_class, double shed_share, time_point now) const
 {
     const auto found = classes_.find(work_class);
-    if (found == classes_.end() || part <= 0 || part >= 1)
+    if (found == classes_.end() || shed_share <= 0 || shed_share >= 1)
     {
-        return std::clamp(part, 0.0, 1.0);
+        return std::clamp(shed_share, 0.0, 1.0);
     }
     struct load
     {
@@ -82,7 +82,7 @@
     {
         const load each{cost_of(one), count_of(one, now)};
         loads.push_back(each);
-        left += each.count * part;
+        left += each.count * shed_share;
         weighted += each.count * each.cost;
     }
     std::sort(
--- a/nutmegusher/policy/shed_order.hpp
+++ b/nutmegusher/policy/shed_shares.hpp
@@ -2,7 +2,7 @@
 //
 //     order.on_request(work_class, now);     // one that may be turned away
 //     order.on_answer(work_class, elapsed);  // one that was let in
-//     if (order.share_of(work_class, part, now) > fraction) turn_away();
+//     if (order.share_of(work_class, shed_share, now) > fraction) turn_away();
 //
 // Pattern of load: a deep service is full, and all classes of the lowest rank
 // are on the way to it. Some reach it directly and hold one slot for a moment;
@@ -17,8 +17,8 @@
 //   slots or before them.
 // - All classes together lose the part that is asked for, so entries free as
 //   many requests as if they turned away the same share of each.
-#ifndef NUTMEGUSHER_POLICY_SHED_ORDER_HPP
-#define NUTMEGUSHER_POLICY_SHED_ORDER_HPP
+#ifndef NUTMEGUSHER_POLICY_SHED_SHARES_HPP
+#define NUTMEGUSHER_POLICY_SHED_SHARES_HPP
 
 #include "nutmegusher/base/clock.hpp"
 
@@ -30,7 +30,7 @@
 {
 
 // For the requests of one rank.
-class shed_order
+class shed_shares
 {
 public:
     // A request of the class came while part of its rank is turned away.
@@ -39,20 +39,20 @@
     // One was answered, after `elapsed` from its arrival.
     void on_answer(std::uint64_t work_class, duration elapsed);
 
-    // The share of the class to turn away, in [0, 1], where `part` of all
+    // The share of the class to turn away, in [0, 1], where `shed_share` of all
     // requests of the rank is to go.
     [[nodiscard]] double
-    share_of(std::uint64_t work_class, double part, time_point now) const;
+    share_of(std::uint64_t work_class, double shed_share, time_point now) const;
 
     // Requests count half after this: several bursts of the users' clients,
     // whose rates swing in 11 s.
     static constexpr duration half_life = std::chrono::seconds(10);
 
     // Classes that are told apart; a deployment has tens.
-    static constexpr std::size_t most_classes = 4096;
+    static constexpr std::size_t max_classes = 4096;
 
 private:
-    struct one_class
+    struct class_load
     {
         // Requests, halving with time.
         double count = 0;
@@ -61,10 +61,10 @@
         double elapsed = 0;
     };
 
-    [[nodiscard]] static double count_of(const one_class& one, time_point now);
-    [[nodiscard]] double cost_of(const one_class& one) const;
+    [[nodiscard]] static double count_of(const class_load& one, time_point now);
+    [[nodiscard]] double cost_of(const class_load& one) const;
 
-    std::unordered_map<std::uint64_t, one_class> classes_;
+    std::unordered_map<std::uint64_t, class_load> classes_;
     // Over the answers of all classes, seconds.
     double mean_elapsed_ = 0;
 };
--- a/nutmegusher/policy/shed_order_test.cpp
+++ b/nutmegusher/policy/shed_shares_test.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/policy/shed_order.hpp"
+#include "nutmegusher/policy/shed_shares.hpp"
 
 #include <gtest/gtest.h>
 
@@ -27,14 +27,14 @@
         }
     }
 
-    [[nodiscard]] double lost(double part) const
+    [[nodiscard]] double total_share(double part) const
     {
         return 0.9 * order.share_of(browse, part, now) +
                0.1 * order.share_of(sign, part, now);
     }
 
     time_point now{std::chrono::hours(1)};
-    shed_order order;
+    shed_shares order;
 };
 
 TEST_F(ordered, a_class_is_turned_away_in_proportion_to_its_time)
@@ -48,7 +48,7 @@
 {
     for (const double part : {0.1, 0.5, 0.9, 0.93, 0.97})
     {
-        EXPECT_NEAR(lost(part), part, 0.02) << part;
+        EXPECT_NEAR(total_share(part), part, 0.02) << part;
     }
     EXPECT_DOUBLE_EQ(order.share_of(sign, 0, now), 0);
     EXPECT_DOUBLE_EQ(order.share_of(sign, 1, now), 1);
@@ -60,10 +60,10 @@
     EXPECT_NEAR(order.share_of(sign, 0.95, now), 0.5, 0.05);
 }
 
-TEST(shed_order, classes_of_which_nothing_is_known_lose_the_same)
+TEST(shed_shares, classes_of_which_nothing_is_known_lose_the_same)
 {
     const time_point now{std::chrono::hours(1)};
-    shed_order order;
+    shed_shares order;
     EXPECT_DOUBLE_EQ(order.share_of(browse, 0.4, now), 0.4);
     order.on_request(browse, now);
     order.on_request(sign, now);
--- a/nutmegusher/policy/shed_board.hpp
+++ b/nutmegusher/policy/shed_table.hpp
@@ -1,14 +1,14 @@
 // What the services on the way of a request want turned away, as an entry has
 // heard it.
 //
-//     board.note(route, {"balances", 0.4}, now);  // answers tell
-//     if (is_shed(board.level(route, now), ranks_below, fraction)) refuse();
+//     table.record(route, {"balances", 0.4}, now);  // answers tell
+//     if (is_shed(table.level(route, now), ranks_below, fraction)) refuse();
 //
 // Pattern of load: see `shed_control`. Without the board each entry would have
 // to be told of the whole call graph; with it an answer brings what lies on
 // the way that it has come.
-#ifndef NUTMEGUSHER_POLICY_SHED_BOARD_HPP
-#define NUTMEGUSHER_POLICY_SHED_BOARD_HPP
+#ifndef NUTMEGUSHER_POLICY_SHED_TABLE_HPP
+#define NUTMEGUSHER_POLICY_SHED_TABLE_HPP
 
 #include "nutmegusher/base/clock.hpp"
 #include "nutmegusher/base/identifier.hpp"
@@ -29,33 +29,34 @@
     double level = 0;
 };
 
-class shed_board
+class shed_table
 {
 public:
-    // An answer brought the level of a service on the way. `way`: names what
-    // was asked, a route or a called service.
-    void note(std::uint64_t way, const shed_level& from, time_point now);
+    // An answer brought the level of a service on the way. `call_path`: names
+    // what was asked, a route or a called service.
+    void
+    record(std::uint64_t call_path, const shed_level& from, time_point now);
 
     // The highest level on the way; 0 where nothing was heard lately.
-    [[nodiscard]] double level(std::uint64_t way, time_point now) const;
+    [[nodiscard]] double level(std::uint64_t call_path, time_point now) const;
 
     // All levels heard lately on the way.
     [[nodiscard]] std::vector<shed_level>
-    levels(std::uint64_t way, time_point now) const;
+    levels(std::uint64_t call_path, time_point now) const;
 
     // A level that was heard longer ago than this says nothing: it falls by
     // that much without load, and calls that bring it come many a second.
-    static constexpr duration memory = std::chrono::seconds(2);
+    static constexpr duration level_lifetime = std::chrono::seconds(2);
 
     // How long a service is taken to be on a way on which it was seen.
-    static constexpr duration way_memory = std::chrono::seconds(30);
+    static constexpr duration path_lifetime = std::chrono::seconds(30);
 
     // The weight of one answer: each upstream of a service has a level of its
     // own, and entries are to follow their mean.
-    static constexpr double weight = 0.2;
+    static constexpr double sample_weight = 0.2;
 
 private:
-    struct heard
+    struct reported_level
     {
         double level = 0;
         time_point at;
@@ -63,9 +64,9 @@
 
     // One level a service, whichever way it came: where all of a route is
     // turned away, no answer of the route tells that the level has fallen.
-    std::map<service_name, heard> levels_;
+    std::map<service_name, reported_level> levels_;
     // When each service was last seen on each way.
-    std::map<std::pair<std::uint64_t, service_name>, time_point> ways_;
+    std::map<std::pair<std::uint64_t, service_name>, time_point> path_services_;
 };
 
 // Whether a request is turned away at a level. `ranks_below`: how many ranks
--- a/nutmegusher/policy/slot_queue.hpp
+++ b/nutmegusher/policy/slot_queue.hpp
@@ -2,8 +2,8 @@
 //
 //     slot_queue queue(seed);
 //     queue.set_slots(44, now);
-//     arrival at = queue.arrive(facts, now);
-//     for (const settlement& each : queue.finish(ticket, result, now))
+//     arrival_result at = queue.arrive(info, now);
+//     for (const queue_outcome& each : queue.finish(ticket, result, now))
 //         resume_or_answer(each);
 //     wake_at(queue.next_event());   // then call `tick(now)`
 //
@@ -61,7 +61,7 @@
     double demand = 0;
     double shed_level = 0;
     // The moving mean of the time that a call holds a slot.
-    duration hold{0};
+    duration slot_time{0};
 };
 
 // The spans that the functions return are valid until the next call.
@@ -72,21 +72,21 @@
     explicit slot_queue(std::uint64_t seed);
 
     // How many calls the upstream works on at once; 0: none is let in.
-    std::span<const settlement> set_slots(std::size_t slots, time_point now);
+    std::span<const queue_outcome> set_slots(std::size_t slots, time_point now);
 
     // Decides on a new call. Requires: its ticket is neither waiting nor
     // running here.
-    arrival arrive(const call_facts& call, time_point now);
+    arrival_result arrive(const call_info& call, time_point now);
 
     // An admitted call ended. Unknown tickets change nothing.
-    std::span<const settlement>
+    std::span<const queue_outcome>
     finish(ticket_id ticket, call_result result, time_point now);
 
     // The caller of a waiting call went away; it gets no settlement.
-    std::span<const settlement> cancel(ticket_id ticket, time_point now);
+    std::span<const queue_outcome> cancel(ticket_id ticket, time_point now);
 
     // Time has passed: refuses what can no longer finish in time.
-    std::span<const settlement> tick(time_point now);
+    std::span<const queue_outcome> tick(time_point now);
 
     // When `tick` has something to do next.
     [[nodiscard]] std::optional<time_point> next_event() const;
@@ -94,7 +94,7 @@
     // Another process of the upstream has started: it works on nothing that was
     // let in before, and how long calls held the slots of the earlier one says
     // nothing of it. Calls that wait go on waiting.
-    std::span<const settlement> restart(time_point now);
+    std::span<const queue_outcome> restart(time_point now);
 
     // The upstream made a call of its own: what calls take there then says
     // little of its slots, and all of them are used.
@@ -102,7 +102,7 @@
 
     // From now on all new calls and all waiting ones are refused with
     // `leaving`; running ones go on. False: takes work again.
-    std::span<const settlement> set_leaving(bool leaving, time_point now);
+    std::span<const queue_outcome> set_leaving(bool leaving, time_point now);
 
     // What entries had better not let in: see `shed_control`.
     [[nodiscard]] double shed_level() const
@@ -114,49 +114,49 @@
 
 private:
     // The rank, then the deadline, then the arrival.
-    struct place
+    struct position
     {
         std::uint8_t rank = 0;
         time_point deadline;
-        std::uint64_t number = 0;
+        std::uint64_t arrival_number = 0;
 
-        friend auto operator<=>(const place&, const place&) = default;
+        friend auto operator<=>(const position&, const position&) = default;
     };
 
     struct waiting_call
     {
-        call_facts facts;
+        call_info info;
         // When its target is over, and the latest start that meets it.
-        time_point due;
+        time_point target_end;
         time_point latest_start;
     };
 
-    using waiting_calls = std::map<place, waiting_call>;
+    using waiting_calls = std::map<position, waiting_call>;
 
     struct running_call
     {
         std::uint64_t work_class = 0;
         time_point since;
-        useful_slots::start from;
+        useful_slots::start started_under;
     };
 
-    [[nodiscard]] place place_of(const call_facts& call) const;
-    void add_waiting(const place& at, const call_facts& call, time_point now);
+    [[nodiscard]] position position_of(const call_info& call) const;
+    void add_waiting(const position& at, const call_info& call, time_point now);
     waiting_calls::iterator remove_waiting(waiting_calls::iterator at);
     [[nodiscard]] waiting_calls::iterator next_to_start(time_point now);
-    [[nodiscard]] double hold_of(std::uint64_t work_class) const;
+    [[nodiscard]] double slot_time_of(std::uint64_t work_class) const;
     [[nodiscard]] double slots_per_second() const;
     [[nodiscard]] duration expected_wait(std::size_t ahead) const;
-    [[nodiscard]] std::size_t ahead_of(const place& one) const;
+    [[nodiscard]] std::size_t ahead_of(const position& one) const;
     [[nodiscard]] bool
-    is_hopeless(const call_facts& call, duration wait, time_point now) const;
+    misses_deadline(const call_info& call, duration wait, time_point now) const;
     [[nodiscard]] refused
-    refuse(refusal_reason reason, const call_facts& call, time_point now);
-    void start(const call_facts& call, time_point now);
+    refuse(refusal_reason reason, const call_info& call, time_point now);
+    void start(const call_info& call, time_point now);
     void admit_waiting(time_point now);
-    void learn(std::uint64_t work_class, duration held);
+    void record_slot_time(std::uint64_t work_class, duration held);
     void update_shed(time_point now);
-    [[nodiscard]] bool calls_others(time_point now) const;
+    [[nodiscard]] bool makes_sub_calls(time_point now) const;
     void update_limit(time_point now);
 
     // As the upstream says, and as many as are used.
@@ -167,16 +167,16 @@
     bool leaving_ = false;
     std::uint64_t arrivals_ = 0;
     waiting_calls waiting_;
-    std::set<std::pair<time_point, place>> by_latest_start_;
-    std::unordered_map<ticket_id, place> places_;
+    std::set<std::pair<time_point, position>> by_latest_start_;
+    std::unordered_map<ticket_id, position> positions_;
     std::unordered_map<ticket_id, running_call> running_;
     // Moving means of the time that calls hold a slot, seconds.
-    std::unordered_map<std::uint64_t, double> holds_;
-    double mean_hold_ = 0;
+    std::unordered_map<std::uint64_t, double> slot_times_;
+    double mean_slot_time_ = 0;
     shed_control shed_;
-    std::map<std::uint8_t, return_schedule> returns_;
+    std::map<std::uint8_t, return_schedule> retry_schedules_;
     random_engine engine_;
-    std::vector<settlement> settled_;
+    std::vector<queue_outcome> outcomes_;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/slot_queue_test.cpp
+++ b/nutmegusher/policy/slot_queue_test.cpp
@@ -21,9 +21,9 @@
         queue.set_slots(2, now);
     }
 
-    call_facts call(std::uint8_t rank, duration target, duration left)
+    call_info call(std::uint8_t rank, duration target, duration left)
     {
-        call_facts made;
+        call_info made;
         made.ticket = ticket_id(++tickets);
         made.rank = rank;
         made.work_class = rank;
@@ -32,28 +32,28 @@
         return made;
     }
 
-    decision arrive(const call_facts& facts)
+    decision arrive(const call_info& info)
     {
-        return queue.arrive(facts, now).verdict;
+        return queue.arrive(info, now).verdict;
     }
 
     // Runs calls of the class until their time is known.
-    void learn(std::uint8_t rank, duration hold)
+    void learn(std::uint8_t rank, duration slot_time)
     {
         for (int i = 0; i < 50; ++i)
         {
-            const auto facts = call(rank, 1s, 5s);
-            arrive(facts);
-            now += hold;
-            queue.finish(facts.ticket, call_result::ok, now);
+            const auto info = call(rank, 1s, 5s);
+            arrive(info);
+            now += slot_time;
+            queue.finish(info.ticket, call_result::ok, now);
         }
     }
 
     std::vector<ticket_id>
-    admitted_in(std::span<const settlement> settled) const
+    admitted_in(std::span<const queue_outcome> outcomes) const
     {
         std::vector<ticket_id> all;
-        for (const auto& each : settled)
+        for (const auto& each : outcomes)
         {
             if (std::holds_alternative<admitted>(each.verdict))
             {
@@ -156,7 +156,7 @@
     }
     const auto verdict = arrive(call(1, 1s, 550ms));
     ASSERT_TRUE(std::holds_alternative<refused>(verdict));
-    EXPECT_GT(std::get<refused>(verdict).come_back_after, 0ms);
+    EXPECT_GT(std::get<refused>(verdict).retry_after, 0ms);
 }
 
 TEST_F(slots, a_waiting_call_is_refused_when_it_becomes_hopeless)
@@ -169,10 +169,10 @@
     ASSERT_TRUE(queue.next_event());
     EXPECT_LE(*queue.next_event(), waits.deadline);
     now += 350ms;
-    const auto settled = queue.tick(now);
-    ASSERT_EQ(settled.size(), 1U);
-    EXPECT_EQ(settled.front().ticket, waits.ticket);
-    EXPECT_TRUE(std::holds_alternative<refused>(settled.front().verdict));
+    const auto outcomes = queue.tick(now);
+    ASSERT_EQ(outcomes.size(), 1U);
+    EXPECT_EQ(outcomes.front().ticket, waits.ticket);
+    EXPECT_TRUE(std::holds_alternative<refused>(outcomes.front().verdict));
     EXPECT_FALSE(queue.next_event());
 }
 
@@ -208,17 +208,17 @@
         queue.set_slots(16, now);
     }
 
-    void play(duration time)
+    void simulate(duration time)
     {
         const auto until = now + time;
         while (now < until)
         {
             while (queue.state().waiting < 4)
             {
-                const auto facts = call(1, 1s, 60s);
-                if (arrive(facts) == decision(admitted()))
+                const auto info = call(1, 1s, 60s);
+                if (arrive(info) == decision(admitted()))
                 {
-                    start(facts.ticket);
+                    start(info.ticket);
                 }
             }
             now = ends.begin()->first;
@@ -244,7 +244,7 @@
 
 TEST_F(full_upstream, keeps_a_slot_free_that_slows_down_the_others)
 {
-    play(5s);
+    simulate(5s);
     EXPECT_EQ(queue.state().slots, 15U);
     EXPECT_EQ(queue.state().running, 15U);
 }
@@ -252,13 +252,13 @@
 TEST_F(full_upstream, that_makes_calls_of_its_own_uses_all_slots)
 {
     queue.note_sub_call(now);
-    play(5s);
+    simulate(5s);
     EXPECT_EQ(queue.state().slots, 16U);
 }
 
 // An upstream crashes with all slots taken and starts again: it works on
 // nothing, and is as slow as a cold one.
-TEST_F(slots, a_new_start_holds_nothing_of_the_earlier_one)
+TEST_F(slots, a_restart_forgets_running_calls_and_slot_times)
 {
     learn(0, 400ms);
     const auto first = call(0, 1s, 5s);
@@ -271,7 +271,7 @@
     ASSERT_EQ(let_in.size(), 1U);
     EXPECT_EQ(let_in[0], third.ticket);
     EXPECT_EQ(queue.state().running, 1U);
-    EXPECT_EQ(queue.state().hold, 0ms);
+    EXPECT_EQ(queue.state().slot_time, 0ms);
     EXPECT_TRUE(queue.finish(first.ticket, call_result::failed, now).empty());
     EXPECT_EQ(queue.state().running, 1U) << "a call of the earlier start";
     // Its time says nothing of the new one: 100 ms may do.
--- a/nutmegusher/policy/opening.hpp
+++ b/nutmegusher/policy/slow_start.hpp
@@ -1,6 +1,6 @@
 // How many requests an entry that has just started lets in at once.
 //
-//     opening window(now);
+//     slow_start window(now);
 //     window.wait(rank);                       // a request has come
 //     if (window.enter(rank, now)) send();     // else ask again soon
 //     window.leave(rank);                      // it waits no longer
@@ -16,9 +16,10 @@
 //   level, so it doubles in the time of a request; a high level makes it
 //   smaller. What doesn't fit waits where it holds nothing, the better rank
 //   first.
-// - It ends when it has not held anything back for a while, or after `longest`.
-#ifndef NUTMEGUSHER_POLICY_OPENING_HPP
-#define NUTMEGUSHER_POLICY_OPENING_HPP
+// - It ends when it has not held anything back for a while, or after
+// `max_duration`.
+#ifndef NUTMEGUSHER_POLICY_SLOW_START_HPP
+#define NUTMEGUSHER_POLICY_SLOW_START_HPP
 
 #include "nutmegusher/base/clock.hpp"
 #include "nutmegusher/policy/call.hpp"
@@ -30,10 +31,10 @@
 namespace nutmegusher
 {
 
-class opening
+class slow_start
 {
 public:
-    explicit opening(time_point now);
+    explicit slow_start(time_point now);
 
     // A request of the rank begins and ends to wait.
     void wait(std::uint8_t rank);
@@ -58,19 +59,19 @@
     // calm day, so that the start of a single daemon holds nothing back. Of 4,
     // 16 and no window at all the worst seconds of fifteen days, most of them
     // after a loss of all power, earned 0.41, 0.50 and 0.48 of their worth.
-    static constexpr double first_window = 16;
+    static constexpr double initial_window = 16;
     // Nothing was held back for so long: the window has found its size.
-    static constexpr duration settled_after = std::chrono::seconds(1);
+    static constexpr duration quiet_time = std::chrono::seconds(1);
     // Levels are told all along; by then they do what the window is for.
-    static constexpr duration longest = std::chrono::seconds(8);
+    static constexpr duration max_duration = std::chrono::seconds(8);
     // Below this a service has room, above twice this it turns work away.
     static constexpr double low_level = 0.1;
 
 private:
     const time_point started_;
-    time_point held_back_at_;
-    double window_ = first_window;
-    std::size_t in_work_ = 0;
+    time_point last_held_back_;
+    double window_ = initial_window;
+    std::size_t in_flight_ = 0;
     std::array<std::size_t, rank_count> waiting_{};
 };
 
--- a/nutmegusher/policy/opening_test.cpp
+++ b/nutmegusher/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/policy/opening.hpp"
+#include "nutmegusher/policy/slow_start.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 
-class window : public ::testing::Test
+class slow_start_test : public ::testing::Test
 {
 protected:
-    static constexpr int first = static_cast<int>(opening::first_window);
+    static constexpr int first = static_cast<int>(slow_start::initial_window);
 
     // How many of those that wait are let in now.
     int let_in(std::uint8_t rank, int waiting)
@@ -28,10 +28,10 @@
     }
 
     time_point now{std::chrono::hours(1)};
-    opening one{now};
+    slow_start one{now};
 };
 
-TEST_F(window, begins_small_and_doubles_with_each_round_of_answers)
+TEST_F(slow_start_test, begins_small_and_doubles_with_each_round_of_answers)
 {
     int in = let_in(2, 100);
     EXPECT_EQ(in, first);
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_F(window, a_level_that_is_heard_makes_it_smaller_again)
+TEST_F(slow_start_test, a_high_level_shrinks_the_window)
 {
     let_in(2, first);
     for (int i = 0; i < first; ++i)
@@ -62,7 +62,7 @@
     EXPECT_EQ(let_in(2, 100), first);
 }
 
-TEST_F(window, the_better_rank_goes_first)
+TEST_F(slow_start_test, the_better_rank_goes_first)
 {
     for (int i = 0; i < 3; ++i)
     {
@@ -76,7 +76,7 @@
     }
 }
 
-TEST_F(window, is_over_when_it_holds_nothing_back)
+TEST_F(slow_start_test, is_over_when_it_holds_nothing_back)
 {
     EXPECT_EQ(let_in(2, 2), 2);
     EXPECT_FALSE(one.is_over(now));
@@ -85,7 +85,7 @@
     EXPECT_EQ(let_in(2, 100), 100);
 }
 
-TEST_F(window, is_over_after_its_longest_time_whatever_comes)
+TEST_F(slow_start_test, is_over_after_its_longest_time_whatever_comes)
 {
     for (int i = 0; i < 90; ++i)
     {
--- a/nutmegusher/policy/upstream_health.cpp
+++ b/nutmegusher/policy/upstream_health.cpp
@@ -136,7 +136,7 @@
     return failures_in_row_ >= failures_to_eject;
 }
 
-bool upstream_health::takes(const call_facts& call, time_point now) const
+bool upstream_health::takes(const call_info& call, time_point now) const
 {
     return now >= level_until_ || passes(level_, call);
 }
--- a/nutmegusher/policy/upstream_health.hpp
+++ b/nutmegusher/policy/upstream_health.hpp
@@ -79,7 +79,7 @@
     }
 
     // Whether its last level, if that is recent, lets the call in.
-    [[nodiscard]] bool takes(const call_facts& call, time_point now) const;
+    [[nodiscard]] bool takes(const call_info& call, time_point now) const;
 
     // Whether its last level, if that is recent, refuses anything.
     [[nodiscard]] bool refuses(time_point now) const;
--- a/nutmegusher/policy/useful_slots.cpp
+++ b/nutmegusher/policy/useful_slots.cpp
@@ -10,15 +10,15 @@
 
 // A mean follows the last of its calls, so many times as many as it is judged
 // by.
-constexpr std::size_t counted_ends_factor = 3;
+constexpr std::size_t max_weight_factor = 3;
 // Below this a class's mean is too rough to be compared.
-constexpr std::size_t least_ends_of_class = 10;
+constexpr std::size_t min_class_completions = 10;
 // Classes whose times are kept; a deployment has tens.
-constexpr std::size_t most_classes = 1024;
+constexpr std::size_t max_classes = 1024;
 
-bool is_fresh(time_point last_end, time_point now)
+bool is_fresh(time_point last_completion, time_point now)
 {
-    return now - last_end <= useful_slots::memory;
+    return now - last_completion <= useful_slots::retention;
 }
 
 } // namespace
@@ -33,14 +33,14 @@
     slots_ = slots;
 }
 
-std::size_t useful_slots::ends_to_judge() const
+std::size_t useful_slots::completions_to_compare() const
 {
-    return std::max(least_ends, slots_);
+    return std::max(min_completions, slots_);
 }
 
 std::size_t useful_slots::step() const
 {
-    const auto rounded = (slots_ + steps_in_all / 2) / steps_in_all;
+    const auto rounded = (slots_ + step_count / 2) / step_count;
     return std::max<std::size_t>(rounded, 1);
 }
 
@@ -59,42 +59,49 @@
     return index;
 }
 
-void useful_slots::on_end(
-    std::uint64_t work_class, const start& from, duration held, time_point now)
+void useful_slots::on_completion(
+    std::uint64_t work_class,
+    const start& started_under,
+    duration slot_time,
+    time_point now)
 {
-    if (slots_ < least_slots)
+    if (slots_ < min_slots)
     {
         return;
     }
     // Those of an earlier limit that still run are the long ones.
-    if (from.period != period_ || ++ends_ <= settling_turns * slots_)
+    if (started_under.limit_version != limit_version_ ||
+        ++completions_ <= settling_rounds * slots_)
     {
         return;
     }
-    if (classes_.size() >= most_classes)
+    if (classes_.size() >= max_classes)
     {
         classes_.clear();
     }
-    auto& one = classes_[work_class][band_of(from.running)];
-    if (!is_fresh(one.last_end, now))
+    auto& one = classes_[work_class][band_of(started_under.running)];
+    if (!is_fresh(one.last_completion, now))
     {
         one = {};
     }
-    const double seconds = std::chrono::duration<double>(held).count();
-    one.ends = std::min(one.ends + 1, counted_ends_factor * ends_to_judge());
+    const double seconds = std::chrono::duration<double>(slot_time).count();
+    one.completions = std::min(
+        one.completions + 1, max_weight_factor * completions_to_compare());
     one.mean_seconds +=
-        (seconds - one.mean_seconds) / static_cast<double>(one.ends);
-    one.last_end = now;
+        (seconds - one.mean_seconds) / static_cast<double>(one.completions);
+    one.last_completion = now;
 }
 
-std::size_t useful_slots::ends_in(std::size_t band, time_point now) const
+std::size_t useful_slots::completions_in(std::size_t band, time_point now) const
 {
-    std::size_t ends = 0;
+    std::size_t completions = 0;
     for (const auto& [work_class, times] : classes_)
     {
-        ends += is_fresh(times[band].last_end, now) ? times[band].ends : 0;
+        completions += is_fresh(times[band].last_completion, now)
+                           ? times[band].completions
+                           : 0;
     }
-    return ends;
+    return completions;
 }
 
 // How many times as long calls take in the band as in the other one; nothing
@@ -108,17 +115,18 @@
     {
         const auto& here = times[band];
         const auto& there = times[other];
-        const auto ends = std::min(here.ends, there.ends);
-        if (ends < least_ends_of_class || there.mean_seconds <= 0 ||
-            !is_fresh(here.last_end, now) || !is_fresh(there.last_end, now))
+        const auto completions = std::min(here.completions, there.completions);
+        if (completions < min_class_completions || there.mean_seconds <= 0 ||
+            !is_fresh(here.last_completion, now) ||
+            !is_fresh(there.last_completion, now))
         {
             continue;
         }
-        sum +=
-            here.mean_seconds / there.mean_seconds * static_cast<double>(ends);
-        compared += ends;
+        sum += here.mean_seconds / there.mean_seconds *
+               static_cast<double>(completions);
+        compared += completions;
     }
-    if (compared < ends_to_judge())
+    if (compared < completions_to_compare())
     {
         return std::nullopt;
     }
@@ -145,21 +153,21 @@
     if (best != limit_)
     {
         limit_ = best;
-        ++period_;
-        ends_ = 0;
+        ++limit_version_;
+        completions_ = 0;
     }
     return limit_;
 }
 
 std::size_t useful_slots::best_limit(time_point now) const
 {
-    if (slots_ < least_slots)
+    if (slots_ < min_slots)
     {
         return slots_;
     }
-    for (std::size_t unused = 0; unused < most_unused_steps; ++unused)
+    for (std::size_t unused = 0; unused < max_unused_steps; ++unused)
     {
-        if (ends_in(unused, now) < ends_to_judge())
+        if (completions_in(unused, now) < completions_to_compare())
         {
             return limit_of(unused);
         }
@@ -171,12 +179,12 @@
         }
         const double used = static_cast<double>(limit_of(unused));
         const double fewer = static_cast<double>(limit_of(unused + 1));
-        if (fewer * *slower <= used * least_gain)
+        if (fewer * *slower <= used * min_gain)
         {
             return limit_of(unused);
         }
     }
-    return limit_of(most_unused_steps);
+    return limit_of(max_unused_steps);
 }
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/useful_slots_test.cpp
+++ b/nutmegusher/policy/useful_slots_test.cpp
@@ -20,12 +20,12 @@
 // How much longer work takes when so many of the slots are taken.
 using slowdown = std::function<double(std::size_t running, std::size_t slots)>;
 
-double never(std::size_t, std::size_t)
+double no_slowdown(std::size_t, std::size_t)
 {
     return 1.0;
 }
 
-double beyond_95_in_100(std::size_t running, std::size_t slots)
+double slow_above_95_percent(std::size_t running, std::size_t slots)
 {
     return static_cast<double>(running) > 0.95 * static_cast<double>(slots)
                ? 1.3
@@ -33,10 +33,10 @@
 }
 
 // One upstream that always has calls waiting.
-class saturated
+class saturated_upstream
 {
 public:
-    saturated(std::size_t slots, slowdown slower, bool limited)
+    saturated_upstream(std::size_t slots, slowdown slower, bool limited)
         : slots_(slots)
         , slower_(std::move(slower))
         , limited_(limited)
@@ -45,7 +45,7 @@
     }
 
     // The work that ends within the time, in seconds of the upstream's own.
-    double play(duration time)
+    double simulate(duration time)
     {
         const auto until = now_ + time;
         double done = 0;
@@ -55,7 +55,8 @@
             const auto [end, call] = *running_.begin();
             running_.erase(running_.begin());
             now_ = end;
-            useful_.on_end(call.work_class, call.start, end - call.since, now_);
+            useful_.on_completion(
+                call.work_class, call.start, end - call.since, now_);
             done += call.work;
             fill();
         }
@@ -68,7 +69,7 @@
         return limited_ ? useful_.limit(now_) : slots_;
     }
 
-    double all_slower = 1.0;
+    double overall_slowdown = 1.0;
 
 private:
     struct call
@@ -90,9 +91,11 @@
             const double seconds =
                 std::chrono::duration<double>(mean_work).count();
             const double work = seconds * factor * spread_(engine_);
-            const double held = work * slower_(running, slots_) * all_slower;
-            const auto end = now_ + std::chrono::duration_cast<duration>(
-                                        std::chrono::duration<double>(held));
+            const double slot_time =
+                work * slower_(running, slots_) * overall_slowdown;
+            const auto end =
+                now_ + std::chrono::duration_cast<duration>(
+                           std::chrono::duration<double>(slot_time));
             running_.emplace(
                 end, call{work_class, useful_.on_start(running), now_, work});
         }
@@ -110,16 +113,16 @@
 
 double gain(std::size_t slots, const slowdown& slower)
 {
-    saturated all(slots, slower, false);
-    saturated useful(slots, slower, true);
-    return useful.play(20s) / all.play(20s);
+    saturated_upstream all(slots, slower, false);
+    saturated_upstream useful(slots, slower, true);
+    return useful.simulate(20s) / all.simulate(20s);
 }
 
 TEST(useful_slots, an_upstream_that_slows_down_when_full_does_more)
 {
     for (const std::size_t slots : {14U, 31U, 82U, 292U})
     {
-        EXPECT_GT(gain(slots, beyond_95_in_100), 1.15) << slots;
+        EXPECT_GT(gain(slots, slow_above_95_percent), 1.15) << slots;
     }
 }
 
@@ -127,46 +130,46 @@
 {
     for (const std::size_t slots : {8U, 14U, 31U, 82U, 292U})
     {
-        EXPECT_GT(gain(slots, never), 0.97) << slots;
+        EXPECT_GT(gain(slots, no_slowdown), 0.97) << slots;
     }
 }
 
 TEST(useful_slots, few_slots_are_all_used)
 {
-    saturated upstream(4, beyond_95_in_100, true);
-    upstream.play(10s);
+    saturated_upstream upstream(4, slow_above_95_percent, true);
+    upstream.simulate(10s);
     EXPECT_EQ(upstream.limit(), 4U);
 }
 
-TEST(useful_slots, all_are_used_until_something_is_known)
+TEST(useful_slots, all_slots_are_used_before_any_measurement)
 {
-    saturated upstream(31, beyond_95_in_100, true);
+    saturated_upstream upstream(31, slow_above_95_percent, true);
     EXPECT_EQ(upstream.limit(), 31U);
 }
 
 TEST(useful_slots, an_upstream_that_turns_slow_as_a_whole_keeps_its_slots)
 {
-    saturated upstream(82, never, true);
-    upstream.play(5s);
-    upstream.all_slower = 5.0;
-    upstream.play(20s);
+    saturated_upstream upstream(82, no_slowdown, true);
+    upstream.simulate(5s);
+    upstream.overall_slowdown = 5.0;
+    upstream.simulate(20s);
     EXPECT_GE(upstream.limit(), 77U);
 }
 
-TEST(useful_slots, a_limit_that_is_no_longer_needed_goes)
+TEST(useful_slots, a_limit_that_is_no_longer_needed_is_removed)
 {
     bool slows = true;
     const auto slower = [&slows](std::size_t running, std::size_t slots)
     {
-        return slows ? beyond_95_in_100(running, slots) : 1.0;
+        return slows ? slow_above_95_percent(running, slots) : 1.0;
     };
-    saturated upstream(31, slower, true);
-    upstream.play(5s);
+    saturated_upstream upstream(31, slower, true);
+    upstream.simulate(5s);
     EXPECT_LT(upstream.limit(), 31U);
     slows = false;
-    upstream.play(15s);
-    saturated all(31, never, false);
-    EXPECT_GT(upstream.play(10s) / all.play(10s), 0.97);
+    upstream.simulate(15s);
+    saturated_upstream all(31, no_slowdown, false);
+    EXPECT_GT(upstream.simulate(10s) / all.simulate(10s), 0.97);
 }
 
 } // namespace
--- a/nutmegusher/routed/entry.cpp
+++ b/nutmegusher/routed/entry.cpp
@@ -703,9 +703,9 @@
         return told;
     }
 
-    [[nodiscard]] call_facts facts() const
+    [[nodiscard]] call_info facts() const
     {
-        call_facts facts;
+        call_info facts;
         facts.rank = call_.terms.rank;
         facts.work_class = call_.terms.work_class;
         facts.request = stable_hash(call_.terms.id);
--- a/nutmegusher/routed/fence_test.cpp
+++ b/nutmegusher/routed/fence_test.cpp
@@ -77,7 +77,7 @@
     std::atomic<int> runs = 0;
     start(counting(runs));
     beside->state.slots.set_slots(1);
-    call_facts other;
+    call_info other;
     other.ticket = beside->state.slots.next_ticket();
     other.deadline = host_clock().now() + std::chrono::minutes(1);
     asio::io_context context;
--- a/nutmegusher/routed/peer_exchange.cpp
+++ b/nutmegusher/routed/peer_exchange.cpp
@@ -374,7 +374,7 @@
         present.running,
         present.waiting,
         present.slots,
-        present.hold,
+        present.slot_time,
         state.errors.share(terms.caller_data_center)};
     for (const auto& called : state.ahead.called())
     {
--- a/nutmegusher/routed/routed_state.cpp
+++ b/nutmegusher/routed/routed_state.cpp
@@ -32,7 +32,7 @@
     const std::scoped_lock lock(mutex_);
     for (const auto& each : levels)
     {
-        requests_.note(route, each, now);
+        requests_.record(route, each, now);
     }
 }
 
@@ -44,7 +44,7 @@
     called_.insert(called);
     for (const auto& each : levels)
     {
-        sub_calls_.note(stable_hash(called.str()), each, now);
+        sub_calls_.record(stable_hash(called.str()), each, now);
     }
 }
 
@@ -87,7 +87,7 @@
     orders_.at(rank).on_answer(route, elapsed);
 }
 
-opening& entry_opening::window()
+slow_start& entry_opening::window()
 {
     if (!window_)
     {
@@ -123,7 +123,7 @@
 void sub_call_routes::count(std::uint64_t route, const service_name& caller)
 {
     const std::scoped_lock lock(mutex_);
-    census_.note(route, caller);
+    census_.record(route, caller);
 }
 
 bool sub_call_routes::is_counted(std::uint64_t route) const
--- a/nutmegusher/routed/routed_state.hpp
+++ b/nutmegusher/routed/routed_state.hpp
@@ -66,12 +66,12 @@
 
 private:
     mutable std::mutex mutex_;
-    shed_board requests_;
-    shed_board sub_calls_;
+    shed_table requests_;
+    shed_table sub_calls_;
     std::set<service_name> called_;
 };
 
-// Which requests that enter here are turned away: `shed_order` by rank.
+// Which requests that enter here are turned away: `shed_shares` by rank.
 class turned_away
 {
 public:
@@ -84,10 +84,10 @@
 
 private:
     std::mutex mutex_;
-    std::array<shed_order, rank_count> orders_;
+    std::array<shed_shares, rank_count> orders_;
 };
 
-// An `opening` for all worker threads, from the first request on.
+// An `slow_start` for all worker threads, from the first request on.
 class entry_opening
 {
 public:
@@ -97,10 +97,10 @@
     void on_answer(double level);
 
 private:
-    opening& window();
+    slow_start& window();
 
     std::mutex mutex_;
-    std::optional<opening> window_;
+    std::optional<slow_start> window_;
 };
 
 // Which routes only upstreams call, as this host has seen or was told.
@@ -121,7 +121,7 @@
 
 private:
     mutable std::mutex mutex_;
-    caller_census census_;
+    sub_call_classifier census_;
     std::unordered_map<std::uint64_t, bool> told_;
 };
 
--- a/nutmegusher/routed/slot_gate.cpp
+++ b/nutmegusher/routed/slot_gate.cpp
@@ -31,7 +31,7 @@
     return ticket_id(++last_ticket_);
 }
 
-asio::awaitable<node::gate_verdict> slot_gate::enter(call_facts call)
+asio::awaitable<node::gate_verdict> slot_gate::enter(call_info call)
 {
     auto executor = co_await asio::this_coro::executor;
     std::shared_ptr<node::waiting_calls::waiter> mine;
@@ -41,7 +41,7 @@
         const auto now = host_clock().now();
         const auto at = queue_.arrive(call, now);
         log_pressure(now);
-        waiting_.deliver(at.others);
+        waiting_.deliver(at.outcomes);
         if (const auto* no = std::get_if<refused>(&at.verdict))
         {
             co_return *no;
@@ -83,7 +83,7 @@
          {"waiting", std::uint64_t{present.waiting}},
          {"demand", present.demand},
          {"level", present.shed_level},
-         {"hold_ms", milliseconds(present.hold).count()}});
+         {"hold_ms", milliseconds(present.slot_time).count()}});
 }
 
 time_point slot_gate::next_event() const
--- a/nutmegusher/routed/slot_gate.hpp
+++ b/nutmegusher/routed/slot_gate.hpp
@@ -27,7 +27,7 @@
 
     // Suspends until the call is let in or refused; resumes on the executor
     // that it was called on.
-    asio::awaitable<node::gate_verdict> enter(call_facts call);
+    asio::awaitable<node::gate_verdict> enter(call_info call);
 
     // Requires: `enter` gave `admitted`.
     void finish(ticket_id ticket, call_result result);
--- a/nutmegusher/routed/upstream_side.cpp
+++ b/nutmegusher/routed/upstream_side.cpp
@@ -191,9 +191,9 @@
     std::unique_ptr<watched_run> run_;
 };
 
-call_facts facts_of(const call_terms& terms, ticket_id ticket)
+call_info facts_of(const call_terms& terms, ticket_id ticket)
 {
-    call_facts facts;
+    call_info facts;
     facts.ticket = ticket;
     facts.rank = terms.rank;
     facts.work_class = terms.work_class;
@@ -293,7 +293,7 @@
         cancelled_->stop = nullptr;
         if (const auto* no = std::get_if<refused>(&verdict))
         {
-            co_return not_run(to_reason(no->reason), no->come_back_after);
+            co_return not_run(to_reason(no->reason), no->retry_after);
         }
         if (std::holds_alternative<node::gone>(verdict))
         {
