--- a/nutmegusher/policy/router.cpp
+++ b/nutmegusher/policy/router.cpp
@@ -149,7 +149,7 @@
 }
 
 std::optional<upstream_handle> router::choose(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now,
     random_engine& engine)
@@ -201,7 +201,7 @@
 }
 
 router::upstream_index router::choose_by_expected_time(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now,
     random_engine& engine)
@@ -238,7 +238,7 @@
 }
 
 bool router::has_alternative(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now) const
 {
@@ -253,7 +253,7 @@
 }
 
 bool router::should_try_elsewhere(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now) const
 {
@@ -268,7 +268,7 @@
 }
 
 router::upstream_index router::due_probe(
-    const call_facts& call,
+    const call_info& call,
     std::span<const upstream_handle> tried,
     time_point now)
 {
@@ -548,11 +548,11 @@
         {
             const admission_level level = each.health.level(now);
             scratch_.push_back(
-                pass_below(bulk ? level.bulk_lane : level.short_lane));
+                pass_threshold(bulk ? level.bulk_lane : level.short_lane));
         }
     }
     return scratch_.empty() ? lane_level{}
-                            : lane_level_below(upper_median(scratch_));
+                            : level_for_threshold(upper_median(scratch_));
 }
 
 admission_level router::service_level(time_point now) const
@@ -562,8 +562,8 @@
     all.bulk_lane = median_level(true, now);
     for (const entry& each : entries_)
     {
-        all.come_back_after = std::max(
-            all.come_back_after, each.health.level(now).come_back_after);
+        all.retry_after =
+            std::max(all.retry_after, each.health.level(now).retry_after);
     }
     return all;
 }
--- a/nutmegusher/policy/router_leaving_test.cpp
+++ b/nutmegusher/policy/router_leaving_test.cpp
@@ -19,7 +19,7 @@
         candidate{host_id("leaves"), network_distance::same_data_center},
         candidate{host_id("stays"), network_distance::same_region}};
     route.update(both, clock.now());
-    call_facts call;
+    call_info call;
     call.deadline = clock.now() + std::chrono::hours(1);
     const auto first = route.choose(call, {}, clock.now(), engine);
     ASSERT_TRUE(first);
@@ -46,7 +46,7 @@
         candidate{host_id("gone"), network_distance::same_data_center},
         candidate{host_id("stays"), network_distance::same_region}};
     route.update(both, clock.now());
-    call_facts call;
+    call_info call;
     call.deadline = clock.now() + std::chrono::hours(1);
     const auto choose = [&]
     {
--- a/nutmegusher/policy/upstream_health.hpp
+++ b/nutmegusher/policy/upstream_health.hpp
@@ -80,7 +80,7 @@
     }
 
     // Whether its last level, if that is recent, lets the call in.
-    [[nodiscard]] bool accepts(const call_facts& call, time_point now) const;
+    [[nodiscard]] bool accepts(const call_info& call, time_point now) const;
 
     // Whether its last level, if that is recent, refuses anything.
     [[nodiscard]] bool refuses_any(time_point now) const;
