--- a/nutmegusher/routed/entry.cpp
+++ b/nutmegusher/routed/entry.cpp
@@ -20,43 +20,43 @@
 using node::call_reason;
 using node::refusal;
 
-constexpr std::size_t piece_bytes = 16384;
+constexpr std::size_t chunk_bytes = 16384;
 // Without a document nothing can be routed; one comes within a round trip to a
 // control host.
-constexpr duration come_back_with_routes = std::chrono::milliseconds(500);
+constexpr duration retry_after_no_routes = std::chrono::milliseconds(500);
 // A service that no upstream is known of: one may report at any moment.
-constexpr duration come_back_without_upstream = std::chrono::milliseconds(500);
+constexpr duration retry_after_no_upstream = std::chrono::milliseconds(500);
 // A daemon that has just started holds requests for the document of routes: a
 // control host gives it in tens of milliseconds once it has a leader, and a
 // caller that is sent away comes back once at most. Of the time that the caller
 // gives, so that one who is refused in the end can still be served elsewhere.
-constexpr duration routes_limit = std::chrono::seconds(1);
-constexpr int routes_share_of_time = 4;
-constexpr duration routes_step = std::chrono::milliseconds(10);
+constexpr duration max_routes_wait = std::chrono::seconds(1);
+constexpr int routes_wait_divisor = 4;
+constexpr duration routes_poll_interval = std::chrono::milliseconds(10);
 // A request that waits for the window after a start looks again so often.
-constexpr duration opening_step = std::chrono::milliseconds(10);
+constexpr duration slow_start_poll_interval = std::chrono::milliseconds(10);
 // What a caller may send before its limit is known.
-constexpr std::uint64_t body_bytes_without_routes = 65536;
+constexpr std::uint64_t max_body_bytes_without_routes = 65536;
 // A first call waits this long for the upstreams of its service to become
 // known; a sync with a control host takes a round trip.
-constexpr duration first_upstreams_limit = std::chrono::milliseconds(500);
-constexpr duration first_upstreams_step = std::chrono::milliseconds(2);
+constexpr duration max_upstreams_wait = std::chrono::milliseconds(500);
+constexpr duration upstreams_poll_interval = std::chrono::milliseconds(2);
 // A request that was turned away for the whole way: it comes back when the
 // level has had the time to fall, and early enough to be on time still (the
 // users' shortest aim of a class that is turned away first is 1.5 s).
-constexpr duration come_back_after_shedding = std::chrono::milliseconds(700);
+constexpr duration retry_after_shedding = std::chrono::milliseconds(700);
 // After the end of this process a caller's next connection reaches another one.
-constexpr duration come_back_elsewhere = std::chrono::milliseconds(100);
+constexpr duration retry_after_stopping = std::chrono::milliseconds(100);
 // Daemons that may turn one call away, unsent, before its caller hears of it:
 // a queue behind one of them is no reason to refuse, behind three it is.
-constexpr std::size_t most_refusals = 3;
+constexpr std::size_t max_refusals = 3;
 
 constexpr unsigned status_server_error = 500;
 // Twenty times what the users' classes fail by themselves, and low enough to
 // hold where an upstream fails a tenth of its calls.
-constexpr double least_errors_to_ask_elsewhere = 0.08;
+constexpr double min_error_rate_to_retry = 0.08;
 
-bool is_passed_on(std::string_view name, const request_dialect& names)
+bool is_forwarded(std::string_view name, const request_dialect& names)
 {
     return name != "host" && name != "connection" &&
            name != "transfer-encoding" && name != "keep-alive" &&
@@ -69,54 +69,55 @@
 
 // Of requests that are known from so many ends of upstreams or more, one at a
 // time is in work here, and none is sent a second time.
-constexpr std::size_t ends_to_isolate = 2;
+constexpr std::size_t crashes_to_isolate = 2;
 
 // Keeps a request apart that is suspected to end upstreams.
-class suspect_mark
+class suspect_guard
 {
 public:
-    suspect_mark(node::crash_watch& crashes, std::uint64_t digest)
+    suspect_guard(node::crash_watch& crashes, std::uint64_t digest)
         : crashes_(crashes)
         , digest_(digest)
     {
-        const auto judged = crashes.judge(digest);
-        if (judged.suspicion == crash_suspicion::quarantined)
+        const auto judgement = crashes.judge(digest);
+        if (judgement.suspicion == crash_suspicion::quarantined)
         {
-            come_back_ = come_back_from_quarantine;
+            retry_after_ = retry_after_quarantine;
         }
-        else if (judged.ends >= ends_to_isolate)
+        else if (judgement.ends >= crashes_to_isolate)
         {
-            is_marked_ = crashes.begin_suspect(digest);
-            come_back_ = is_marked_ ? duration::zero() : come_back_as_suspect;
+            is_registered_ = crashes.begin_suspect(digest);
+            retry_after_ =
+                is_registered_ ? duration::zero() : retry_after_suspected;
         }
     }
 
-    ~suspect_mark()
+    ~suspect_guard()
     {
-        if (is_marked_)
+        if (is_registered_)
         {
             crashes_.end_suspect(digest_);
         }
     }
 
-    suspect_mark(const suspect_mark&) = delete;
-    suspect_mark& operator=(const suspect_mark&) = delete;
+    suspect_guard(const suspect_guard&) = delete;
+    suspect_guard& operator=(const suspect_guard&) = delete;
 
     [[nodiscard]] std::optional<refusal> refused() const
     {
-        if (come_back_ == duration::zero())
+        if (retry_after_ == duration::zero())
         {
             return std::nullopt;
         }
         return refusal{
-            call_reason::quarantined, call_outcome::not_run, come_back_};
+            call_reason::quarantined, call_outcome::not_run, retry_after_};
     }
 
 private:
     node::crash_watch& crashes_;
     std::uint64_t digest_;
-    bool is_marked_ = false;
-    duration come_back_{0};
+    bool is_registered_ = false;
+    duration retry_after_{0};
 };
 
 // One request, from its head to its answer.
@@ -124,10 +125,10 @@
 {
 public:
     routed_entry(
-        node::worker& here,
+        node::worker& worker,
         routed_state& state,
         node::caller_exchange& exchange)
-        : here_(here)
+        : worker_(worker)
         , state_(state)
         , exchange_(exchange)
         , arrived_(host_clock().now())
@@ -142,45 +143,47 @@
         {
             co_return;
         }
-        if (const auto wrong = route_request())
+        if (const auto rejection = route_request())
         {
-            co_await refuse(*wrong);
+            co_await refuse(*rejection);
             co_return;
         }
         if (!co_await read_body(view_->routes().limits().body_bytes()))
         {
             co_return; // the caller has gone, or was told what is wrong
         }
-        service_ = route_->choose(here_.random).service;
-        call_.terms.service = service_;
-        call_.terms.sub_call = state_.sub_calls.is_known(route_->hash);
+        service_ = route_->choose(worker_.random).service;
+        call_.metadata.service = service_;
+        call_.metadata.sub_call =
+            state_.sub_calls.is_reported_sub_call(route_->hash);
         if (state_.process.refuses_callers &&
-            state_.sub_calls.is_ruled_out(route_->hash))
+            state_.sub_calls.is_reported_request(route_->hash))
         {
             co_await give_up(stopping());
             co_return;
         }
-        if (const auto no = turn_away())
+        if (const auto rejection = check_shedding())
         {
-            co_await give_up(*no);
+            co_await give_up(*rejection);
             co_return;
         }
-        call_.terms.digest = digest_of_content();
-        const suspect_mark mark(state_.process.crashes, call_.terms.digest);
-        if (const auto no = mark.refused())
+        call_.metadata.digest = digest_of_content();
+        const suspect_guard guard(
+            state_.process.crashes, call_.metadata.digest);
+        if (const auto rejection = guard.refused())
         {
-            co_await give_up(*no);
+            co_await give_up(*rejection);
             co_return;
         }
         watch_caller();
         co_await wait_for_upstreams();
-        if (!is_opened() || co_await wait_for_opening())
+        if (!needs_slow_start() || co_await wait_for_slow_start())
         {
             co_await send_until_answered();
         }
-        if (entered_)
+        if (admitted_)
         {
-            state_.opening_window.on_answer(state_.ahead.level(route_->hash));
+            state_.slow_start.on_answer(state_.path_levels.level(route_->hash));
         }
     }
 
@@ -194,27 +197,27 @@
     // who leaves meanwhile is noticed.
     asio::awaitable<bool> wait_for_routes()
     {
-        if (!co_await read_body(body_bytes_without_routes))
+        if (!co_await read_body(max_body_bytes_without_routes))
         {
             co_return false;
         }
         watch_caller();
-        const auto given =
+        const auto timeout =
             node::parse_milliseconds(field(state_.names.time_left));
-        const duration share =
-            given.value_or(routes_limit) / routes_share_of_time;
-        const auto until = arrived_ + std::min(routes_limit, share);
-        asio::steady_timer pause(here_.context);
+        const duration max_wait =
+            timeout.value_or(max_routes_wait) / routes_wait_divisor;
+        const auto until = arrived_ + std::min(max_routes_wait, max_wait);
+        asio::steady_timer timer(worker_.context);
         while (!has_routes() && !cancelled_->requested &&
                host_clock().now() < until)
         {
-            pause.expires_after(routes_step);
-            co_await pause.async_wait(asio::use_awaitable);
+            timer.expires_after(routes_poll_interval);
+            co_await timer.async_wait(asio::use_awaitable);
             view_ = state_.process.configuration.current();
         }
         if (cancelled_->requested)
         {
-            co_await end_cancelled();
+            co_await finish_cancelled();
             co_return false;
         }
         co_return true;
@@ -237,34 +240,34 @@
         {
             return refusal{call_reason::no_such_route};
         }
-        return read_terms();
+        return read_metadata();
     }
 
-    std::optional<refusal> read_terms()
+    std::optional<refusal> read_metadata()
     {
         const auto& names = state_.names;
-        auto& terms = call_.terms;
-        terms.id = field(names.request_id);
-        if (!node::is_token(terms.id))
+        auto& metadata = call_.metadata;
+        metadata.id = field(names.request_id);
+        if (!node::is_token(metadata.id))
         {
             return refusal{call_reason::bad_header};
         }
-        const auto given = field(names.time_left);
-        const auto left = node::parse_milliseconds(given);
-        if (!given.empty() && !left)
+        const auto timeout = field(names.time_left);
+        const auto left = node::parse_milliseconds(timeout);
+        if (!timeout.empty() && !left)
         {
             return refusal{call_reason::bad_header};
         }
-        terms.host = field("host");
+        metadata.host = field("host");
         const auto& configured = state_.process.configured;
-        terms.caller_service = configured.upstream.service;
-        terms.caller_data_center = configured.host.data_center;
-        terms.rank = route_->rank;
-        terms.repeatable = route_->repeatable;
-        terms.bulk = route_->bulk;
-        terms.target = route_->target;
-        terms.work_class = route_->hash;
-        terms.deadline =
+        metadata.caller_service = configured.upstream.service;
+        metadata.caller_data_center = configured.host.data_center;
+        metadata.rank = route_->rank;
+        metadata.repeatable = route_->repeatable;
+        metadata.bulk = route_->bulk;
+        metadata.target = route_->target;
+        metadata.work_class = route_->hash;
+        metadata.deadline =
             arrived_ +
             std::min(left.value_or(route_->deadline), route_->deadline);
         fill_head();
@@ -278,7 +281,7 @@
         call_.head.path = head.path;
         for (const auto& item : head.fields)
         {
-            if (is_passed_on(item.name, state_.names))
+            if (is_forwarded(item.name, state_.names))
             {
                 call_.head.fields.push_back(item);
             }
@@ -287,10 +290,10 @@
 
     asio::awaitable<bool> read_body(std::uint64_t limit)
     {
-        std::array<std::byte, piece_bytes> piece;
+        std::array<std::byte, chunk_bytes> chunk;
         while (true)
         {
-            const auto got = co_await exchange_.read_some(piece);
+            const auto got = co_await exchange_.read_some(chunk);
             if (!got)
             {
                 if (got.error() == node::caller_failure::malformed)
@@ -314,14 +317,14 @@
                 co_return false;
             }
             call_.body.append(
-                reinterpret_cast<const char*>(piece.data()), *got);
+                reinterpret_cast<const char*>(chunk.data()), *got);
         }
     }
 
     [[nodiscard]] std::uint64_t digest_of_content() const
     {
         request_digest digest(call_.head.method, call_.head.path);
-        digest.update(call_.terms.host);
+        digest.update(call_.metadata.host);
         digest.update("\n");
         digest.update(service_.str());
         digest.update("\n");
@@ -361,7 +364,7 @@
     }
 
     // The end of a request that was cancelled before it had its answer.
-    asio::awaitable<void> end_cancelled()
+    asio::awaitable<void> finish_cancelled()
     {
         if (cancelled_->is_answer_owed)
         {
@@ -371,69 +374,71 @@
 
     // Refuses here what a service further down has no room for, before any
     // work is done for it.
-    std::optional<refusal> turn_away()
+    std::optional<refusal> check_shedding()
     {
-        if (call_.terms.sub_call)
+        if (call_.metadata.sub_call)
         {
             return std::nullopt;
         }
-        const auto level = state_.ahead.level(route_->hash);
-        const auto below = view_->routes().ranks_below(route_->rank);
-        const double part = level - static_cast<double>(below);
+        const auto level = state_.path_levels.level(route_->hash);
+        const auto lower_ranks = view_->routes().ranks_below(route_->rank);
+        const double shed_share = level - static_cast<double>(lower_ranks);
         const double fraction = request_fraction(facts());
-        if (!state_.shed.decide(route_->rank, route_->hash, part, fraction))
+        if (!state_.shed.decide(
+                route_->rank, route_->hash, shed_share, fraction))
         {
             return std::nullopt;
         }
         return refusal{
             call_reason::overload,
             call_outcome::not_run,
-            spread(come_back_after_shedding, here_.random)};
+            spread(retry_after_shedding, worker_.random)};
     }
 
     // Sub-calls are part of what was let in; long transfers load other
     // services than the window is there for.
-    [[nodiscard]] bool is_opened() const
+    [[nodiscard]] bool needs_slow_start() const
     {
-        return !call_.terms.sub_call && !call_.terms.bulk;
+        return !call_.metadata.sub_call && !call_.metadata.bulk;
     }
 
     // False: the request has ended. Waits for half of its target at most, and
     // of its time: the rest is for its work, or for another try of the caller.
-    asio::awaitable<bool> wait_for_opening()
+    asio::awaitable<bool> wait_for_slow_start()
     {
-        auto& window = state_.opening_window;
-        const auto rank = call_.terms.rank;
+        auto& window = state_.slow_start;
+        const auto rank = call_.metadata.rank;
         window.wait(rank);
-        entered_ = window.enter(rank);
+        admitted_ = window.enter(rank);
         const auto now = host_clock().now();
-        const auto left = call_.terms.deadline - now;
-        const auto target =
-            call_.terms.target > duration::zero() ? call_.terms.target : left;
+        const auto left = call_.metadata.deadline - now;
+        const auto target = call_.metadata.target > duration::zero()
+                                ? call_.metadata.target
+                                : left;
         const auto until = now + std::min(target, left) / 2;
-        asio::steady_timer pause(here_.context);
-        while (!entered_ && !cancelled_->requested &&
+        asio::steady_timer timer(worker_.context);
+        while (!admitted_ && !cancelled_->requested &&
                host_clock().now() < until)
         {
-            pause.expires_after(opening_step);
-            co_await pause.async_wait(asio::use_awaitable);
-            entered_ = window.enter(rank);
+            timer.expires_after(slow_start_poll_interval);
+            co_await timer.async_wait(asio::use_awaitable);
+            admitted_ = window.enter(rank);
         }
         window.leave(rank);
         if (cancelled_->requested)
         {
-            co_await end_cancelled();
+            co_await finish_cancelled();
             co_return false;
         }
-        if (!entered_)
+        if (!admitted_)
         {
-            const refusal told{
+            const refusal details{
                 call_reason::overload,
                 call_outcome::not_run,
-                spread(come_back_after_shedding, here_.random)};
-            co_await give_up(told);
+                spread(retry_after_shedding, worker_.random)};
+            co_await give_up(details);
         }
-        co_return entered_;
+        co_return admitted_;
     }
 
     asio::awaitable<void> wait_for_upstreams()
@@ -448,24 +453,24 @@
             state_.process.sync_soon();
         }
         const auto until =
-            std::min(arrived_ + first_upstreams_limit, call_.terms.deadline);
-        asio::steady_timer pause(here_.context);
+            std::min(arrived_ + max_upstreams_wait, call_.metadata.deadline);
+        asio::steady_timer timer(worker_.context);
         while (!routes.known(service_) && !cancelled_->requested &&
                host_clock().now() < until)
         {
-            pause.expires_after(first_upstreams_step);
-            co_await pause.async_wait(asio::use_awaitable);
+            timer.expires_after(upstreams_poll_interval);
+            co_await timer.async_wait(asio::use_awaitable);
         }
     }
 
     asio::awaitable<void> send_until_answered()
     {
-        state_.repeats.on_call(service_, call_.terms.sub_call);
+        state_.retries.on_call(service_, call_.metadata.sub_call);
         while (!cancelled_->requested)
         {
-            if (call_.terms.time_left() <= duration::zero())
+            if (call_.metadata.time_left() <= duration::zero())
             {
-                co_await give_up(too_late());
+                co_await give_up(deadline_exceeded());
                 co_return;
             }
             if (is_quarantined())
@@ -474,62 +479,62 @@
                 co_return;
             }
             auto to = state_.process.routes.start(
-                service_, facts(), tried_, here_.random);
+                service_, facts(), tried_, worker_.random);
             if (!to)
             {
-                co_await give_up(last_.value_or(nowhere()));
+                co_await give_up(last_failure_.value_or(no_upstream_known()));
                 co_return;
             }
-            if (co_await is_settled_by(*std::move(to)))
+            if (co_await try_upstream(*std::move(to)))
             {
                 co_return;
             }
         }
-        co_await end_cancelled();
+        co_await finish_cancelled();
     }
 
     // True: the request has its final answer, or nobody waits for one.
-    asio::awaitable<bool> is_settled_by(node::route to)
+    asio::awaitable<bool> try_upstream(node::route to)
     {
         tried_.push_back(to.handle);
         const auto started = host_clock().now();
         peer_feedback feedback;
         auto result = co_await send_to(to, feedback);
-        const auto how = to_end(result, feedback);
+        const auto try_result = to_try_end(result, feedback);
         state_.process.routes.end(
             service_,
             to.handle,
-            call_.terms.bulk,
-            how,
+            call_.metadata.bulk,
+            try_result,
             host_clock().now() - started);
-        if (feedback.word && how != node::try_end::gone)
+        if (feedback.load_report && try_result != node::try_end::gone)
         {
-            take_word(to.handle, *feedback.word);
+            apply_load_report(to.handle, *feedback.load_report);
         }
         if (cancelled_->requested && !cancelled_->is_answer_owed)
         {
             co_return true;
         }
-        if (result && (cancelled_->requested ||
-                       !is_better_asked_elsewhere(*result, feedback)))
+        if (result &&
+            (cancelled_->requested || !should_retry_error(*result, feedback)))
         {
-            co_await pass_on(*std::move(result));
+            co_await forward_answer(*std::move(result));
             co_return true;
         }
         if (result)
         {
-            ++sent_;
+            ++sent_tries_;
             may_have_run_ = true;
             error_answer_ = *std::move(result);
             co_return false;
         }
-        note(result.error());
+        record_failure(result.error());
         if (cancelled_->requested)
         {
-            co_await end_cancelled();
+            co_await finish_cancelled();
             co_return true;
         }
-        if (may_send_again(result.error()))
+        if (may_retry(result.error()))
         {
             co_return false;
         }
@@ -540,32 +545,33 @@
     asio::awaitable<routed_result>
     send_to(const node::route& to, peer_feedback& feedback)
     {
-        const bool is_here = to.host == state_.process.configured.host.id;
-        if (!is_here)
+        const bool is_local = to.host == state_.process.configured.host.id;
+        if (!is_local)
         {
             co_return co_await call_peer(
-                here_, to.address, call_, cancelled_, feedback);
+                worker_, to.address, call_, cancelled_, feedback);
         }
         auto result =
-            co_await run_on_upstream(here_, state_, call_, cancelled_);
-        feedback.word = own_word(state_, call_.terms);
+            co_await run_on_upstream(worker_, state_, call_, cancelled_);
+        feedback.load_report = own_load_report(state_, call_.metadata);
         co_return result;
     }
 
-    void take_word(upstream_handle from, const upstream_word& word)
+    void apply_load_report(
+        upstream_handle from, const upstream_load_report& load_report)
     {
-        state_.process.routes.on_load(service_, from, word.load);
-        state_.ahead.hear(route_->hash, word.shed);
-        if (word.is_sub_call)
+        state_.process.routes.on_load(service_, from, load_report.load);
+        state_.path_levels.record(route_->hash, load_report.shed);
+        if (load_report.is_sub_call)
         {
-            state_.ahead.hear_below(service_, word.shed);
+            state_.path_levels.record_sub_call(service_, load_report.shed);
             state_.slots.note_sub_call();
         }
-        state_.sub_calls.learn(route_->hash, word.is_sub_call);
+        state_.sub_calls.on_report(route_->hash, load_report.is_sub_call);
     }
 
     static node::try_end
-    to_end(const routed_result& result, const peer_feedback& feedback)
+    to_try_end(const routed_result& result, const peer_feedback& feedback)
     {
         if (result)
         {
@@ -579,7 +585,7 @@
         {
             return node::try_end::failure;
         }
-        switch (result.error().told.reason)
+        switch (result.error().details.reason)
         {
         case call_reason::leaving:
             return node::try_end::leaving;
@@ -597,32 +603,34 @@
         }
     }
 
-    void note(const failed_call& failed)
+    void record_failure(const failed_call& failed)
     {
-        sent_ += failed.sent ? 1 : 0;
-        if (failed.ended)
+        sent_tries_ += failed.sent ? 1 : 0;
+        if (failed.crashed)
         {
             state_.process.crashes.note_end(
-                call_.terms.digest,
-                failed.ended->upstream,
-                failed.ended->ran_for,
+                call_.metadata.digest,
+                failed.crashed->upstream,
+                failed.crashed->ran_for,
                 service_);
         }
-        const bool ran = failed.told.result != call_outcome::not_run;
+        const bool ran = failed.details.result != call_outcome::not_run;
         may_have_run_ = may_have_run_ || ran;
-        const bool turned_away = failed.told.reason == call_reason::overload;
-        refusals_ += turned_away ? 1 : 0;
+        const bool was_overloaded =
+            failed.details.reason == call_reason::overload;
+        refusals_ += was_overloaded ? 1 : 0;
         // What has run isn't forgotten for a later refusal.
-        if (!last_ || ran || !may_have_run_)
+        if (!last_failure_ || ran || !may_have_run_)
         {
-            last_ = failed.told;
+            last_failure_ = failed.details;
         }
     }
 
     [[nodiscard]] bool is_quarantined() const
     {
-        const auto judged = state_.process.crashes.judge(call_.terms.digest);
-        return judged.suspicion == crash_suspicion::quarantined;
+        const auto judgement =
+            state_.process.crashes.judge(call_.metadata.digest);
+        return judgement.suspicion == crash_suspicion::quarantined;
     }
 
     [[nodiscard]] refusal quarantined() const
@@ -630,33 +638,33 @@
         return {
             call_reason::quarantined,
             may_have_run_ ? call_outcome::unknown : call_outcome::not_run,
-            come_back_from_quarantine};
+            retry_after_quarantine};
     }
 
     // One that upstreams have ended under may end another one.
-    [[nodiscard]] bool may_end_another() const
+    [[nodiscard]] bool may_crash_another() const
     {
-        return state_.process.crashes.judge(call_.terms.digest).ends >=
-               ends_to_isolate;
+        return state_.process.crashes.judge(call_.metadata.digest).ends >=
+               crashes_to_isolate;
     }
 
-    [[nodiscard]] bool may_send_again(const failed_call& failed)
+    [[nodiscard]] bool may_retry(const failed_call& failed)
     {
-        const bool ran = failed.told.result != call_outcome::not_run;
-        if (ran && (!call_.terms.repeatable || may_end_another()))
+        const bool ran = failed.details.result != call_outcome::not_run;
+        if (ran && (!call_.metadata.repeatable || may_crash_another()))
         {
             return false;
         }
-        if (sent_ >= route_->max_tries || refusals_ >= most_refusals ||
-            failed.told.reason == call_reason::deadline)
+        if (sent_tries_ >= route_->max_tries || refusals_ >= max_refusals ||
+            failed.details.reason == call_reason::deadline)
         {
             return false;
         }
         return !failed.sent ||
-               state_.repeats.take(service_, call_.terms.sub_call);
+               state_.retries.take(service_, call_.metadata.sub_call);
     }
 
-    [[nodiscard]] refusal too_late() const
+    [[nodiscard]] refusal deadline_exceeded() const
     {
         return {
             call_reason::deadline,
@@ -669,7 +677,7 @@
         return {
             call_reason::leaving,
             may_have_run_ ? call_outcome::unknown : call_outcome::not_run,
-            come_back_elsewhere};
+            retry_after_stopping};
     }
 
     [[nodiscard]] static refusal no_routes()
@@ -677,7 +685,7 @@
         return {
             call_reason::starting,
             call_outcome::not_run,
-            come_back_with_routes};
+            retry_after_no_routes};
     }
 
     [[nodiscard]] static refusal too_large()
@@ -685,121 +693,121 @@
         return {call_reason::too_large};
     }
 
-    [[nodiscard]] static refusal nowhere()
+    [[nodiscard]] static refusal no_upstream_known()
     {
         return {
             call_reason::no_upstream,
             call_outcome::not_run,
-            come_back_without_upstream};
+            retry_after_no_upstream};
     }
 
     [[nodiscard]] refusal final_refusal() const
     {
-        auto told = *last_;
+        auto details = *last_failure_;
         if (may_have_run_)
         {
-            told.result = call_outcome::unknown;
+            details.result = call_outcome::unknown;
         }
-        return told;
+        return details;
     }
 
     [[nodiscard]] call_facts facts() const
     {
         call_facts facts;
-        facts.rank = call_.terms.rank;
-        facts.work_class = call_.terms.work_class;
-        facts.request = stable_hash(call_.terms.id);
-        facts.deadline = call_.terms.deadline;
-        facts.target = call_.terms.target;
-        facts.bulk = call_.terms.bulk;
-        facts.sub_call = call_.terms.sub_call;
-        facts.repeatable = call_.terms.repeatable;
+        facts.rank = call_.metadata.rank;
+        facts.work_class = call_.metadata.work_class;
+        facts.request = stable_hash(call_.metadata.id);
+        facts.deadline = call_.metadata.deadline;
+        facts.target = call_.metadata.target;
+        facts.bulk = call_.metadata.bulk;
+        facts.sub_call = call_.metadata.sub_call;
+        facts.repeatable = call_.metadata.repeatable;
         return facts;
     }
 
-    asio::awaitable<void> give_up(refusal told)
+    asio::awaitable<void> give_up(refusal details)
     {
         if (error_answer_)
         {
-            co_await pass_on(*std::move(error_answer_));
+            co_await forward_answer(*std::move(error_answer_));
             co_return;
         }
         log_event(
             event::request_refused,
-            {{"request", call_.terms.id},
-             {"route", counted_as().str()},
+            {{"request", call_.metadata.id},
+             {"route", metrics_class().str()},
              {"service", service_.str()},
-             {"reason", node::to_string(told.reason)},
-             {"outcome", node::to_string(told.result)},
+             {"reason", node::to_string(details.reason)},
+             {"outcome", node::to_string(details.result)},
              {"tries", static_cast<std::uint64_t>(tried_.size())},
              {"version", view_->routes().version()}});
-        co_await refuse(told);
+        co_await refuse(details);
     }
 
     // An error of an upstream that fails much more than calls do by themselves.
     // Of one that fails seldom the error is taken to be the call's own: asked
     // elsewhere it would fail there too.
-    [[nodiscard]] bool is_better_asked_elsewhere(
+    [[nodiscard]] bool should_retry_error(
         const routed_answer& answer, const peer_feedback& feedback)
     {
         const bool is_failing =
-            feedback.word &&
-            feedback.word->load.errors >= least_errors_to_ask_elsewhere;
+            feedback.load_report &&
+            feedback.load_report->load.errors >= min_error_rate_to_retry;
         if (answer.head.status != status_server_error || !is_failing ||
-            answer.rest || !call_.terms.repeatable ||
-            sent_ + 1 >= route_->max_tries)
+            answer.rest || !call_.metadata.repeatable ||
+            sent_tries_ + 1 >= route_->max_tries)
         {
             return false;
         }
         return state_.process.routes.takes_elsewhere(
                    service_, facts(), tried_) &&
-               state_.repeats.take(service_, call_.terms.sub_call);
+               state_.retries.take(service_, call_.metadata.sub_call);
     }
 
     void note_end(bool failed)
     {
-        if (failed && call_.terms.sub_call)
+        if (failed && call_.metadata.sub_call)
         {
             state_.errors.on_failed_call();
         }
     }
 
     // Where no route was found, as where no class was.
-    [[nodiscard]] class_name counted_as() const
+    [[nodiscard]] class_name metrics_class() const
     {
         return class_name(route_ == nullptr ? "(none)" : route_->name);
     }
 
-    asio::awaitable<void> refuse(refusal told)
+    asio::awaitable<void> refuse(refusal details)
     {
         note_end(true);
         state_.process.measured.refused(
             node::call_side::entry,
-            counted_as(),
-            told.reason,
-            told.result,
-            sent_);
-        auto head = state_.names.refuse(told);
-        if (!call_.terms.id.empty())
+            metrics_class(),
+            details.reason,
+            details.result,
+            sent_tries_);
+        auto head = state_.names.refuse(details);
+        if (!call_.metadata.id.empty())
         {
-            head.fields.push_back({state_.names.request_id, call_.terms.id});
+            head.fields.push_back({state_.names.request_id, call_.metadata.id});
         }
         co_await exchange_.answer(std::move(head), "");
     }
 
-    asio::awaitable<void> pass_on(routed_answer answer)
+    asio::awaitable<void> forward_answer(routed_answer answer)
     {
         note_end(answer.head.status >= status_server_error);
-        if (!call_.terms.sub_call)
+        if (!call_.metadata.sub_call)
         {
             const auto elapsed = host_clock().now() - arrived_;
             state_.shed.on_answer(route_->rank, route_->hash, elapsed);
         }
         state_.process.measured.completed(
             node::call_side::entry,
-            counted_as(),
+            metrics_class(),
             host_clock().now() - arrived_,
-            sent_ + 1);
+            sent_tries_ + 1);
         if (!answer.rest)
         {
             co_await exchange_.answer(std::move(answer.head), answer.body);
@@ -807,17 +815,17 @@
         }
         bool open = co_await exchange_.begin_answer(
             std::move(answer.head), answer.length);
-        const auto begin = std::as_bytes(std::span(answer.body));
-        open = open && co_await exchange_.write_some(begin);
-        std::array<std::byte, piece_bytes> piece;
+        const auto first_bytes = std::as_bytes(std::span(answer.body));
+        open = open && co_await exchange_.write_some(first_bytes);
+        std::array<std::byte, chunk_bytes> chunk;
         while (open)
         {
-            const auto got = co_await answer.rest->read_some(piece);
+            const auto got = co_await answer.rest->read_some(chunk);
             if (!got)
             {
                 log_event(
                     event::answer_broken,
-                    {{"request", call_.terms.id}, {"route", route_->name}});
+                    {{"request", call_.metadata.id}, {"route", route_->name}});
                 co_return;
             }
             if (*got == 0)
@@ -825,11 +833,11 @@
                 co_await exchange_.end_answer();
                 co_return;
             }
-            open = co_await exchange_.write_some(std::span(piece).first(*got));
+            open = co_await exchange_.write_some(std::span(chunk).first(*got));
         }
     }
 
-    node::worker& here_;
+    node::worker& worker_;
     routed_state& state_;
     node::caller_exchange& exchange_;
     const time_point arrived_;
@@ -840,12 +848,12 @@
     service_name service_;
     routed_call call_;
     std::vector<upstream_handle> tried_;
-    std::uint32_t sent_ = 0;
+    std::uint32_t sent_tries_ = 0;
     std::size_t refusals_ = 0;
     bool may_have_run_ = false;
-    // Let in by `opening_window`.
-    bool entered_ = false;
-    std::optional<refusal> last_;
+    // Let in by `slow_start`.
+    bool admitted_ = false;
+    std::optional<refusal> last_failure_;
     // An upstream's error after which the call was made elsewhere; the answer
     // where nothing better comes.
     std::optional<routed_answer> error_answer_;
@@ -854,9 +862,9 @@
 } // namespace
 
 asio::awaitable<void> serve_routed_request(
-    node::worker& here, routed_state& state, node::caller_exchange& exchange)
+    node::worker& worker, routed_state& state, node::caller_exchange& exchange)
 {
-    routed_entry entry(here, state, exchange);
+    routed_entry entry(worker, state, exchange);
     co_await entry.run();
 }
 
--- a/nutmegusher/routed/entry.hpp
+++ b/nutmegusher/routed/entry.hpp
@@ -12,7 +12,7 @@
 // Serves one request of a caller on this host. It ends in the upstream's
 // answer, a refusal, or a connection that is closed without a clean end.
 asio::awaitable<void> serve_routed_request(
-    node::worker& here, routed_state& state, node::caller_exchange& exchange);
+    node::worker& worker, routed_state& state, node::caller_exchange& exchange);
 
 } // namespace nutmegusher::routed
 
--- a/nutmegusher/routed/extension.cpp
+++ b/nutmegusher/routed/extension.cpp
@@ -43,9 +43,9 @@
     }
 
     asio::awaitable<bool>
-    serve_caller(node::worker& here, node::caller_exchange& exchange) override
+    serve_caller(node::worker& worker, node::caller_exchange& exchange) override
     {
-        co_await serve_routed_request(here, *state_, exchange);
+        co_await serve_routed_request(worker, *state_, exchange);
         co_return true;
     }
 
@@ -62,14 +62,14 @@
     }
 
     asio::awaitable<bool> serve_peer(
-        node::worker& here,
+        node::worker& worker,
         std::shared_ptr<wire::server_stream> stream) override
     {
         if (!is_routed_call(stream->head()))
         {
             co_return false;
         }
-        co_await serve_routed_call(here, *state_, std::move(stream));
+        co_await serve_routed_call(worker, *state_, std::move(stream));
         co_return true;
     }
 
@@ -86,23 +86,23 @@
 private:
     // Callers hear whether the upstream takes work; the slots follow it.
     void
-    announce_local(const std::function<void(const node::announcement&)>& tell)
+    announce_local(const std::function<void(const node::announcement&)>& send)
     {
-        const auto now = state_->local.current();
-        if (!now)
+        const auto current = state_->local.current();
+        if (!current)
         {
             return;
         }
         const bool takes = state_->local.takes_calls();
-        state_->slots.set_slots(now->slots);
-        node::announcement said;
-        said.service = now->service;
-        said.address = now->address;
-        said.start = stable_hash(now->id, now->order.started);
-        said.state = takes          ? messages::upstream_serving
-                     : now->leaving ? messages::upstream_leaving
-                                    : messages::upstream_starting;
-        tell(said);
+        state_->slots.set_slots(current->slots);
+        node::announcement message;
+        message.service = current->service;
+        message.address = current->address;
+        message.start = stable_hash(current->id, current->order.started);
+        message.state = takes              ? messages::upstream_serving
+                        : current->leaving ? messages::upstream_leaving
+                                           : messages::upstream_starting;
+        send(message);
     }
 
     std::unique_ptr<interface_adapter> adapter_;
@@ -117,12 +117,12 @@
 {
 }
 
-void routed_service::report(const upstream_report& said)
+void routed_service::report(const upstream_report& message)
 {
-    if (state->local.report(said) == report_effect::started)
+    if (state->local.report(message) == report_effect::started)
     {
         state->slots.restart();
-        state->errors.forget();
+        state->errors.reset();
     }
     // Also without a change: the announcement lives by being repeated.
     state->upstream_changed();
@@ -165,12 +165,12 @@
 
 asio::awaitable<std::optional<messages::route_document>> routed_service::read()
 {
-    const auto present = co_await context_.control.read();
-    if (!present)
+    const auto confirmed = co_await context_.control.read();
+    if (!confirmed)
     {
         co_return std::nullopt;
     }
-    co_return present->routes();
+    co_return confirmed->routes();
 }
 
 std::unique_ptr<node::extension>
--- a/nutmegusher/routed/extension.hpp
+++ b/nutmegusher/routed/extension.hpp
@@ -18,7 +18,7 @@
 
     // The upstream on this host reports; changes nothing where the report is
     // late.
-    void report(const upstream_report& said);
+    void report(const upstream_report& new_report);
 
     // Whether the upstream on this host is one of the service, by the settings.
     [[nodiscard]] bool serves(const service_name& service) const;
--- a/nutmegusher/routed/local_upstream.cpp
+++ b/nutmegusher/routed/local_upstream.cpp
@@ -10,11 +10,11 @@
 
 // Ids whose late reports are recognised. A host's upstream starts a few times
 // an hour at most, and reports come seconds late, not hours.
-constexpr std::size_t most_known_ids = 64;
+constexpr std::size_t max_known_ids = 64;
 
 } // namespace
 
-local_upstream::known_id& local_upstream::remember(const std::string& id)
+local_upstream::known_id& local_upstream::find_or_add(const std::string& id)
 {
     const auto found = std::find_if(
         known_.begin(),
@@ -27,7 +27,7 @@
     {
         return *found;
     }
-    if (known_.size() == most_known_ids)
+    if (known_.size() == max_known_ids)
     {
         known_.pop_front();
     }
@@ -35,31 +35,33 @@
     return known_.back();
 }
 
-report_effect local_upstream::report(const upstream_report& said)
+report_effect local_upstream::report(const upstream_report& new_report)
 {
     const std::scoped_lock lock(mutex_);
-    auto& known = remember(said.id);
+    auto& known = find_or_add(new_report.id);
     const bool is_later_start =
-        known.last && said.order.started > known.last->started;
+        known.last_order &&
+        new_report.order.started > known.last_order->started;
     if (is_later_start)
     {
         known.withdrawn = false;
     }
-    if (known.withdrawn || (known.last && said.order <= *known.last))
+    if (known.withdrawn ||
+        (known.last_order && new_report.order <= *known.last_order))
     {
         return report_effect::none;
     }
-    known.last = said.order;
-    const bool is_other_start =
-        is_later_start || (current_ && current_->id != said.id);
-    const bool same = current_ && reachable_ && current_->id == said.id &&
-                      current_->address == said.address &&
-                      current_->service == said.service &&
-                      current_->slots == said.slots &&
-                      current_->leaving == said.leaving;
-    current_ = said;
+    known.last_order = new_report.order;
+    const bool is_new_process =
+        is_later_start || (current_ && current_->id != new_report.id);
+    const bool same = current_ && reachable_ && current_->id == new_report.id &&
+                      current_->address == new_report.address &&
+                      current_->service == new_report.service &&
+                      current_->slots == new_report.slots &&
+                      current_->leaving == new_report.leaving;
+    current_ = new_report;
     reachable_ = true;
-    if (is_other_start)
+    if (is_new_process)
     {
         return report_effect::started;
     }
@@ -69,8 +71,8 @@
 bool local_upstream::withdraw(const std::string& id, std::uint64_t started)
 {
     const std::scoped_lock lock(mutex_);
-    auto& known = remember(id);
-    if (started != 0 && known.last && started < known.last->started)
+    auto& known = find_or_add(id);
+    if (started != 0 && known.last_order && started < known.last_order->started)
     {
         return false;
     }
@@ -83,7 +85,7 @@
     return true;
 }
 
-bool local_upstream::unreachable(const std::string& id)
+bool local_upstream::mark_unreachable(const std::string& id)
 {
     const std::scoped_lock lock(mutex_);
     if (!current_ || current_->id != id || !reachable_)
--- a/nutmegusher/routed/local_upstream.hpp
+++ b/nutmegusher/routed/local_upstream.hpp
@@ -41,7 +41,7 @@
     report_order order;
     bool leaving = false;
     // How much longer it is slow after its start.
-    duration cold_for{0};
+    duration warm_up_remaining{0};
 };
 
 // What a report changed.
@@ -65,7 +65,7 @@
 class local_upstream
 {
 public:
-    report_effect report(const upstream_report& said);
+    report_effect report(const upstream_report& new_report);
 
     // It says that it is gone; it may still work on what it has. `started`:
     // the start that says so, 0 where it doesn't tell; that of an earlier
@@ -73,7 +73,7 @@
     bool withdraw(const std::string& id, std::uint64_t started = 0);
 
     // It didn't take a connection: nothing is sent there until it reports.
-    bool unreachable(const std::string& id);
+    bool mark_unreachable(const std::string& id);
 
     // The upstream of the last valid report; nothing before the first one.
     [[nodiscard]] std::optional<upstream_report> current() const;
@@ -86,11 +86,11 @@
     {
         std::string id;
         // Nothing before its first report.
-        std::optional<report_order> last;
+        std::optional<report_order> last_order;
         bool withdrawn = false;
     };
 
-    known_id& remember(const std::string& id);
+    known_id& find_or_add(const std::string& id);
 
     mutable std::mutex mutex_;
     std::optional<upstream_report> current_;
--- a/nutmegusher/routed/local_upstream_test.cpp
+++ b/nutmegusher/routed/local_upstream_test.cpp
@@ -13,77 +13,79 @@
     bool leaving = false,
     std::uint64_t started = 1000)
 {
-    upstream_report said;
-    said.id = id;
-    said.service = service_name("balances");
-    said.address = {boost::asio::ip::make_address("127.0.0.1"), 80};
-    said.slots = 14;
-    said.order = {started, count};
-    said.leaving = leaving;
-    return said;
+    upstream_report new_report;
+    new_report.id = id;
+    new_report.service = service_name("balances");
+    new_report.address = {boost::asio::ip::make_address("127.0.0.1"), 80};
+    new_report.slots = 14;
+    new_report.order = {started, count};
+    new_report.leaving = leaving;
+    return new_report;
 }
 
-bool took(report_effect effect)
+bool is_accepted(report_effect effect)
 {
     return effect != report_effect::none;
 }
 
-TEST(local_upstream, a_late_report_does_not_take_a_leaving_one_back)
+TEST(local_upstream, a_late_report_does_not_undo_leaving)
 {
     local_upstream local;
-    EXPECT_TRUE(took(local.report(report("a", 3))));
-    EXPECT_TRUE(took(local.report(report("a", 5, true))));
-    EXPECT_FALSE(took(local.report(report("a", 4))));
+    EXPECT_TRUE(is_accepted(local.report(report("a", 3))));
+    EXPECT_TRUE(is_accepted(local.report(report("a", 5, true))));
+    EXPECT_FALSE(is_accepted(local.report(report("a", 4))));
     EXPECT_FALSE(local.takes_calls());
 }
 
-TEST(local_upstream, a_withdrawn_one_stays_withdrawn)
+TEST(local_upstream, a_withdrawn_upstream_stays_withdrawn)
 {
     local_upstream local;
     local.report(report("a", 3));
     EXPECT_TRUE(local.withdraw("a"));
-    EXPECT_FALSE(took(local.report(report("a", 9))));
+    EXPECT_FALSE(is_accepted(local.report(report("a", 9))));
     EXPECT_FALSE(local.takes_calls());
 }
 
-TEST(local_upstream, the_report_of_an_earlier_start_does_not_come_back)
+TEST(local_upstream, a_late_report_of_a_replaced_upstream_is_ignored)
 {
     local_upstream local;
     local.report(report("a", 7));
     local.report(report("b", 1));
-    EXPECT_FALSE(took(local.report(report("a", 6))));
+    EXPECT_FALSE(is_accepted(local.report(report("a", 6))));
     EXPECT_EQ(local.current()->id, "b");
     // It does if it is there after all.
-    EXPECT_TRUE(took(local.report(report("a", 8))));
+    EXPECT_TRUE(is_accepted(local.report(report("a", 8))));
     EXPECT_EQ(local.current()->id, "a");
 }
 
-TEST(local_upstream, one_that_takes_no_connection_gets_calls_after_its_report)
+TEST(local_upstream, an_unreachable_upstream_gets_calls_after_its_next_report)
 {
     local_upstream local;
     local.report(report("a", 1));
-    EXPECT_TRUE(local.unreachable("a"));
-    EXPECT_FALSE(local.unreachable("a"));
+    EXPECT_TRUE(local.mark_unreachable("a"));
+    EXPECT_FALSE(local.mark_unreachable("a"));
     EXPECT_FALSE(local.takes_calls());
-    EXPECT_TRUE(took(local.report(report("a", 2))));
+    EXPECT_TRUE(is_accepted(local.report(report("a", 2))));
     EXPECT_TRUE(local.takes_calls());
 }
 
 // The count begins anew with each start.
-TEST(local_upstream, a_later_start_under_the_same_id_goes_before_a_higher_count)
+TEST(local_upstream, a_later_start_outranks_a_higher_count)
 {
     local_upstream local;
     local.report(report("a", 40));
     EXPECT_EQ(
         local.report(report("a", 1, false, 2000)), report_effect::started);
     EXPECT_EQ(local.current()->order, (report_order{2000, 1}));
-    EXPECT_FALSE(took(local.report(report("a", 41)))) << "the earlier start";
-    EXPECT_FALSE(took(local.report(report("a", 41, true)))) << "it leaves";
+    EXPECT_FALSE(is_accepted(local.report(report("a", 41))))
+        << "the earlier start";
+    EXPECT_FALSE(is_accepted(local.report(report("a", 41, true))))
+        << "it leaves";
     EXPECT_TRUE(local.takes_calls());
     EXPECT_EQ(local.current()->order, (report_order{2000, 1}));
 }
 
-TEST(local_upstream, what_the_earlier_start_said_of_leaving_is_void)
+TEST(local_upstream, a_later_start_clears_leaving_and_withdrawal)
 {
     local_upstream local;
     local.report(report("a", 3));
@@ -112,11 +114,11 @@
 {
     local_upstream local;
     local.report(report("a", 1));
-    auto said = report("a", 2);
-    EXPECT_EQ(local.report(said), report_effect::none);
-    said = report("a", 3);
-    said.service = service_name("statements");
-    EXPECT_EQ(local.report(said), report_effect::changed);
+    auto new_report = report("a", 2);
+    EXPECT_EQ(local.report(new_report), report_effect::none);
+    new_report = report("a", 3);
+    new_report.service = service_name("statements");
+    EXPECT_EQ(local.report(new_report), report_effect::changed);
 }
 
 } // namespace
--- a/nutmegusher/routed/peer_exchange.cpp
+++ b/nutmegusher/routed/peer_exchange.cpp
@@ -16,13 +16,13 @@
 using node::call_reason;
 using node::refusal;
 
-constexpr std::size_t piece_bytes = 16384;
+constexpr std::size_t chunk_bytes = 16384;
 // Bounds what a peer may have a daemon keep; above every body that callers may
 // send.
-constexpr std::size_t most_body_bytes = 64 * 1024 * 1024;
+constexpr std::size_t max_body_bytes = 64 * 1024 * 1024;
 // Far above a round trip between regions; a host that takes longer to accept
 // is slow or gone, and another one can be tried in the time that is left.
-constexpr duration connect_limit = std::chrono::milliseconds(250);
+constexpr duration connect_timeout = std::chrono::milliseconds(250);
 constexpr unsigned status_ok = 200;
 
 constexpr std::string_view status_field = "nutmeg-status";
@@ -31,7 +31,7 @@
 wire::request_head to_peer_head(const routed_call& call)
 {
     wire::request_head head = call.head;
-    add_terms(call.terms, head.fields);
+    add_metadata(call.metadata, head.fields);
     return head;
 }
 
@@ -50,16 +50,16 @@
 
 failed_call not_sent()
 {
-    const refusal told{
+    const refusal details{
         call_reason::no_upstream, call_outcome::not_run, shortest_return};
-    return {told, false};
+    return {details, false};
 }
 
-failed_call given_up()
+failed_call cancelled_before_sending()
 {
-    const refusal told{
+    const refusal details{
         call_reason::cancelled, call_outcome::not_run, duration::zero()};
-    return {told, false};
+    return {details, false};
 }
 
 // The rest of a long answer that comes over a stream.
@@ -90,11 +90,11 @@
 {
 public:
     peer_exchange(
-        node::worker& here,
+        node::worker& worker,
         const routed_call& call,
         cancel_flag cancelled,
         peer_feedback& feedback)
-        : here_(here)
+        : worker_(worker)
         , call_(call)
         , cancelled_(std::move(cancelled))
         , feedback_(feedback)
@@ -103,27 +103,27 @@
 
     asio::awaitable<routed_result> run(node::endpoint to)
     {
-        const auto kind = call_.terms.bulk ? wire::traffic::long_transfers
-                                           : wire::traffic::short_calls;
-        const auto until =
-            std::min(call_.terms.deadline, host_clock().now() + connect_limit);
-        const auto session = co_await here_.peers.get(to, kind, until);
+        const auto kind = call_.metadata.bulk ? wire::traffic::long_transfers
+                                              : wire::traffic::short_calls;
+        const auto until = std::min(
+            call_.metadata.deadline, host_clock().now() + connect_timeout);
+        const auto session = co_await worker_.peers.get(to, kind, until);
         if (!session)
         {
             feedback_.broken = session.error() != wire::stream_failure::refused;
             note_loss();
             co_return not_sent();
         }
-        const bool confirms =
-            !call_.terms.repeatable || here_.peers.has_lost_lately();
-        if (confirms && !co_await is_there(**session))
+        const bool needs_confirmation =
+            !call_.metadata.repeatable || worker_.peers.has_lost_lately();
+        if (needs_confirmation && !co_await confirm_reachable(**session))
         {
             co_return not_sent();
         }
         // Nothing ends a call that was given up before it is sent.
         if (cancelled_->requested)
         {
-            co_return given_up();
+            co_return cancelled_before_sending();
         }
         const auto head = to_peer_head(call_);
         auto opened = (*session)->open(head, call_.body.empty());
@@ -132,10 +132,10 @@
             co_return not_sent();
         }
         stream_ = *std::move(opened);
-        stream_->expire_after(call_.terms.time_left());
-        if (!call_.terms.bulk)
+        stream_->expire_after(call_.metadata.time_left());
+        if (!call_.metadata.bulk)
         {
-            stream_->expect_answer_soon(call_.terms.repeatable);
+            stream_->expect_answer_soon(call_.metadata.repeatable);
         }
         auto* const stream = stream_.get();
         cancelled_->stop = [stream]
@@ -153,7 +153,7 @@
     // before. Of calls that may not be repeated each of these was lost, and
     // nobody could say that it hadn't run; the others needed a repeat each,
     // and callers with few calls have few.
-    asio::awaitable<bool> is_there(wire::client_session& session)
+    asio::awaitable<bool> confirm_reachable(wire::client_session& session)
     {
         const auto proof = co_await session.confirm();
         feedback_.silent =
@@ -166,7 +166,7 @@
     {
         if (feedback_.silent || feedback_.broken)
         {
-            here_.peers.note_loss();
+            worker_.peers.note_loss();
         }
     }
 
@@ -186,21 +186,22 @@
         {
             co_return failed(head.error());
         }
-        take_word(*head);
+        read_load_report(*head);
         if (const auto refused = node::refusal_of(*head))
         {
             const bool sent =
                 wire::find_header(head->fields, sent_field).has_value();
-            co_return failed_call{*refused, sent, parse_ended(head->fields)};
+            co_return failed_call{
+                *refused, sent, parse_crashed_upstream(head->fields)};
         }
         co_return co_await read_body(*std::move(head));
     }
 
-    void take_word(const wire::response_head& head)
+    void read_load_report(const wire::response_head& head)
     {
-        if (auto word = parse_word(head.fields))
+        if (auto load_report = parse_load_report(head.fields))
         {
-            feedback_.word = *std::move(word);
+            feedback_.load_report = *std::move(load_report);
         }
     }
 
@@ -216,25 +217,25 @@
         answer.length = length_in(head);
         answer.head.status = *code;
         answer.head.fields = without_own_fields(head.fields);
-        std::array<std::byte, piece_bytes> piece;
-        while (answer.body.size() <= kept_answer_bytes)
+        std::array<std::byte, chunk_bytes> chunk;
+        while (answer.body.size() <= max_buffered_answer_bytes)
         {
-            const auto got = co_await stream_->read_some(piece);
+            const auto got = co_await stream_->read_some(chunk);
             if (!got)
             {
-                auto how = failed(got.error());
-                if (how.told.reason == call_reason::connection_lost)
+                auto failure = failed(got.error());
+                if (failure.details.reason == call_reason::connection_lost)
                 {
-                    how.told.reason = call_reason::answer_broken;
+                    failure.details.reason = call_reason::answer_broken;
                 }
-                co_return how;
+                co_return failure;
             }
             if (*got == 0)
             {
                 co_return answer;
             }
             answer.body.append(
-                reinterpret_cast<const char*>(piece.data()), *got);
+                reinterpret_cast<const char*>(chunk.data()), *got);
         }
         answer.rest = std::make_unique<stream_rest>(std::move(stream_));
         co_return answer;
@@ -246,9 +247,9 @@
         feedback_.silent = failure == silent;
         if (wire::certainly_not_processed(failure))
         {
-            const refusal told{
+            const refusal details{
                 call_reason::leaving, call_outcome::not_run, shortest_return};
-            return {told, false};
+            return {details, false};
         }
         feedback_.broken = failure != timed_out && failure != cancelled;
         note_loss();
@@ -257,11 +258,11 @@
                             : failure == protocol
                                 ? call_reason::answer_broken
                                 : call_reason::connection_lost;
-        const refusal told{reason, call_outcome::unknown, duration::zero()};
-        return {told, true};
+        const refusal details{reason, call_outcome::unknown, duration::zero()};
+        return {details, true};
     }
 
-    node::worker& here_;
+    node::worker& worker_;
     const routed_call& call_;
     cancel_flag cancelled_;
     peer_feedback& feedback_;
@@ -272,10 +273,10 @@
 read_whole(wire::server_stream& stream)
 {
     std::string body;
-    std::array<std::byte, piece_bytes> piece;
-    while (body.size() <= most_body_bytes)
+    std::array<std::byte, chunk_bytes> chunk;
+    while (body.size() <= max_body_bytes)
     {
-        const auto got = co_await stream.read_some(piece);
+        const auto got = co_await stream.read_some(chunk);
         if (!got)
         {
             co_return std::nullopt;
@@ -284,7 +285,7 @@
         {
             co_return body;
         }
-        body.append(reinterpret_cast<const char*>(piece.data()), *got);
+        body.append(reinterpret_cast<const char*>(chunk.data()), *got);
     }
     co_return std::nullopt;
 }
@@ -292,15 +293,15 @@
 // Passes the rest on; a stream that isn't ended is reset.
 asio::awaitable<void> write_rest(wire::server_stream& stream, answer_rest& rest)
 {
-    std::array<std::byte, piece_bytes> piece;
+    std::array<std::byte, chunk_bytes> chunk;
     while (true)
     {
-        const auto got = co_await rest.read_some(piece);
+        const auto got = co_await rest.read_some(chunk);
         if (!got)
         {
             co_return;
         }
-        const auto bytes = std::span(piece).first(*got);
+        const auto bytes = std::span(chunk).first(*got);
         const auto sent = co_await stream.write(bytes, *got == 0);
         if (!sent || *got == 0)
         {
@@ -310,7 +311,9 @@
 }
 
 asio::awaitable<void> write_answer(
-    wire::server_stream& stream, routed_answer answer, upstream_word word)
+    wire::server_stream& stream,
+    routed_answer answer,
+    upstream_load_report load_report)
 {
     wire::response_head head{status_ok, std::move(answer.head.fields)};
     const auto add = [&head](std::string_view name, std::string value)
@@ -318,7 +321,7 @@
         head.fields.push_back({std::string(name), std::move(value)});
     };
     add(status_field, std::to_string(answer.head.status));
-    add_word(word, head.fields);
+    add_load_report(load_report, head.fields);
     if (answer.rest && answer.length)
     {
         add("content-length", std::to_string(*answer.length));
@@ -338,17 +341,19 @@
 }
 
 asio::awaitable<void> write_failure(
-    wire::server_stream& stream, failed_call failed, upstream_word word)
+    wire::server_stream& stream,
+    failed_call failed,
+    upstream_load_report load_report)
 {
-    auto head = node::to_head(failed.told);
-    add_word(word, head.fields);
+    auto head = node::to_head(failed.details);
+    add_load_report(load_report, head.fields);
     if (failed.sent)
     {
         head.fields.push_back({std::string(sent_field), "yes"});
     }
-    if (failed.ended)
+    if (failed.crashed)
     {
-        add_ended(*failed.ended, head.fields);
+        add_crashed_upstream(*failed.crashed, head.fields);
     }
     co_await stream.write_head(std::move(head), true);
 }
@@ -356,47 +361,53 @@
 } // namespace
 
 asio::awaitable<routed_result> call_peer(
-    node::worker& here,
+    node::worker& worker,
     node::endpoint to,
     const routed_call& call,
     cancel_flag cancelled,
     peer_feedback& feedback)
 {
-    peer_exchange one(here, call, std::move(cancelled), feedback);
-    co_return co_await one.run(std::move(to));
+    peer_exchange exchange(worker, call, std::move(cancelled), feedback);
+    co_return co_await exchange.run(std::move(to));
 }
 
-upstream_word own_word(const routed_state& state, const call_terms& terms)
+upstream_load_report
+own_load_report(const routed_state& state, const call_metadata& metadata)
 {
-    upstream_word word;
-    const auto present = state.slots.state();
-    word.load = {
-        present.running,
-        present.waiting,
-        present.slots,
-        present.hold,
-        state.errors.share(terms.caller_data_center)};
-    for (const auto& called : state.ahead.called())
+    upstream_load_report load_report;
+    const auto queue_state = state.slots.state();
+    load_report.load = {
+        queue_state.running,
+        queue_state.waiting,
+        queue_state.slots,
+        queue_state.hold,
+        state.errors.share(metadata.caller_data_center)};
+    for (const auto& called : state.path_levels.called())
     {
-        const auto below =
-            terms.bulk ? std::vector<shed_level>() : state.ahead.below(called);
-        word.shed.insert(word.shed.end(), below.begin(), below.end());
+        const auto sub_call_levels =
+            metadata.bulk ? std::vector<shed_level>()
+                          : state.path_levels.sub_call_levels(called);
+        load_report.shed.insert(
+            load_report.shed.end(),
+            sub_call_levels.begin(),
+            sub_call_levels.end());
     }
     if (const auto own = state.local.current())
     {
-        word.shed.push_back({own->service, present.shed_level});
+        load_report.shed.push_back({own->service, queue_state.shed_level});
     }
-    word.is_sub_call = state.sub_calls.is_counted(terms.work_class);
-    return word;
+    load_report.is_sub_call =
+        state.sub_calls.is_counted_sub_call(metadata.work_class);
+    return load_report;
 }
 
 bool is_routed_call(const wire::request_head& head)
 {
-    return has_terms(head.fields);
+    return has_metadata(head.fields);
 }
 
 asio::awaitable<void> serve_routed_call(
-    node::worker& here,
+    node::worker& worker,
     routed_state& state,
     std::shared_ptr<wire::server_stream> stream)
 {
@@ -417,26 +428,27 @@
             }
         });
     routed_call call;
-    auto terms = parse_terms(stream->head().fields);
+    auto metadata = parse_metadata(stream->head().fields);
     auto body = co_await read_whole(*stream);
-    if (!terms || !body)
+    if (!metadata || !body)
     {
         wire::response_head head{400, {}};
         co_await stream->write_head(std::move(head), true);
         co_return;
     }
-    call.terms = *std::move(terms);
+    call.metadata = *std::move(metadata);
     call.body = *std::move(body);
     call.head = stream->head();
     call.head.fields = without_own_fields(stream->head().fields);
-    auto result = co_await run_on_upstream(here, state, call, cancelled);
-    auto word = own_word(state, call.terms);
+    auto result = co_await run_on_upstream(worker, state, call, cancelled);
+    auto load_report = own_load_report(state, call.metadata);
     if (result)
     {
-        co_await write_answer(*stream, *std::move(result), std::move(word));
+        co_await write_answer(
+            *stream, *std::move(result), std::move(load_report));
         co_return;
     }
-    co_await write_failure(*stream, result.error(), std::move(word));
+    co_await write_failure(*stream, result.error(), std::move(load_report));
 }
 
 } // namespace nutmegusher::routed
--- a/nutmegusher/routed/peer_exchange.hpp
+++ b/nutmegusher/routed/peer_exchange.hpp
@@ -17,7 +17,7 @@
 struct peer_feedback
 {
     // Nothing where no word came.
-    std::optional<upstream_word> word;
+    std::optional<upstream_load_report> load_report;
     // Nothing but silence came from there until the end.
     bool silent = false;
     // The connection couldn't be made or broke.
@@ -29,12 +29,12 @@
 // A long transfer hears of its own service alone: it passes on what that
 // service holds. Without this the downloads of an archive were turned away for
 // a registry that only the archive's index reads need, 43 in 100 of them.
-[[nodiscard]] upstream_word
-own_word(const routed_state& state, const call_terms& terms);
+[[nodiscard]] upstream_load_report
+own_load_report(const routed_state& state, const call_metadata& metadata);
 
 // Sends the call to the daemon at `to` and reads the answer.
 asio::awaitable<routed_result> call_peer(
-    node::worker& here,
+    node::worker& worker,
     node::endpoint to,
     const routed_call& call,
     cancel_flag cancelled,
@@ -45,7 +45,7 @@
 
 // Serves such a stream with the upstream on this host.
 asio::awaitable<void> serve_routed_call(
-    node::worker& here,
+    node::worker& worker,
     routed_state& state,
     std::shared_ptr<wire::server_stream> stream);
 
--- a/nutmegusher/routed/peer_exchange_test.cpp
+++ b/nutmegusher/routed/peer_exchange_test.cpp
@@ -13,11 +13,11 @@
 using namespace test_path;
 
 // Its caller goes, or this process ends, while the session is being opened.
-TEST(peer_exchange, does_not_send_a_call_that_was_given_up_meanwhile)
+TEST(peer_exchange, does_not_send_a_call_cancelled_while_connecting)
 {
     node::controllers shared(
         routed_node::make_settings("entry"), incarnation(1));
-    node::worker here(shared, 0);
+    node::worker worker(shared, 0);
     int served = 0;
     const auto serve = [&served](std::shared_ptr<wire::server_stream> stream)
         -> asio::awaitable<void>
@@ -28,21 +28,21 @@
     };
     const auto peer = std::move(
         wire::server::listen(
-            here.context, any_port, serve, wire::session_options(), false)
+            worker.context, any_port, serve, wire::session_options(), false)
             .value());
     routed_call call;
     call.head.method = "GET";
     call.head.path = "/";
-    call.terms.repeatable = true;
-    call.terms.deadline = host_clock().now() + std::chrono::seconds(20);
+    call.metadata.repeatable = true;
+    call.metadata.deadline = host_clock().now() + std::chrono::seconds(20);
     const auto cancelled = std::make_shared<node::cancellation>();
     peer_feedback feedback;
     auto result = asio::co_spawn(
-        here.context,
-        call_peer(here, peer->local_endpoint(), call, cancelled, feedback),
+        worker.context,
+        call_peer(worker, peer->local_endpoint(), call, cancelled, feedback),
         asio::use_future);
     asio::post(
-        here.context,
+        worker.context,
         [cancelled]
         {
             cancelled->requested = true;
@@ -50,14 +50,14 @@
     while (result.wait_for(std::chrono::seconds(0)) !=
            std::future_status::ready)
     {
-        here.context.run_one();
+        worker.context.run_one();
     }
     const auto ended = result.get();
     EXPECT_EQ(served, 0);
     ASSERT_FALSE(ended);
     EXPECT_FALSE(ended.error().sent);
-    EXPECT_EQ(ended.error().told.reason, node::call_reason::cancelled);
-    EXPECT_EQ(ended.error().told.result, call_outcome::not_run);
+    EXPECT_EQ(ended.error().details.reason, node::call_reason::cancelled);
+    EXPECT_EQ(ended.error().details.result, call_outcome::not_run);
 }
 
 } // namespace
--- a/nutmegusher/routed/peer_fields.cpp
+++ b/nutmegusher/routed/peer_fields.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-constexpr std::string_view terms_field = "nutmeg-routed";
+constexpr std::string_view metadata_field = "nutmeg-routed";
 constexpr std::string_view host_field = "nutmeg-host";
 constexpr std::string_view service_field = "nutmeg-service";
 constexpr std::string_view id_field = "nutmeg-call";
 constexpr std::string_view caller_field = "nutmeg-caller";
-constexpr std::string_view from_field = "nutmeg-from";
+constexpr std::string_view data_center_field = "nutmeg-from";
 constexpr std::string_view load_field = "nutmeg-load";
 constexpr std::string_view shed_field = "nutmeg-shed";
 constexpr std::string_view sub_call_field = "nutmeg-sub-call";
-constexpr std::string_view ended_field = "nutmeg-ended";
+constexpr std::string_view crashed_field = "nutmeg-ended";
 constexpr std::string_view own_prefix = "nutmeg-";
 constexpr double level_scale = 1000;
 
@@ -43,25 +43,25 @@
     std::string_view next()
     {
         const auto end = std::min(rest_.find(' '), rest_.size());
-        const auto word = rest_.substr(0, end);
+        const auto value = rest_.substr(0, end);
         rest_.remove_prefix(std::min(end + 1, rest_.size()));
-        return word;
+        return value;
     }
 
     // False where the next word isn't a number that fits.
     template <class Number>
     bool read(Number& into)
     {
-        const auto word = next();
-        return parse(word, into);
+        const auto value = next();
+        return parse(value, into);
     }
 
     template <class Number>
-    static bool parse(std::string_view word, Number& into)
+    static bool parse(std::string_view value, Number& into)
     {
-        const auto* const end = word.data() + word.size();
-        const auto [stop, error] = std::from_chars(word.data(), end, into);
-        return error == std::errc() && stop == end && !word.empty();
+        const auto* const end = value.data() + value.size();
+        const auto [stop, error] = std::from_chars(value.data(), end, into);
+        return error == std::errc() && stop == end && !value.empty();
     }
 
 private:
@@ -75,17 +75,17 @@
 
 // "rank flags milliseconds-left target-milliseconds class digest", for example
 // "2 1 4980 1500 1234567890 9876543210".
-std::string format_terms(const call_terms& terms)
+std::string format_metadata(const call_metadata& metadata)
 {
-    const unsigned flags = (terms.repeatable ? repeatable_bit : 0) |
-                           (terms.bulk ? bulk_bit : 0) |
-                           (terms.sub_call ? sub_call_bit : 0);
-    std::string text = std::to_string(terms.rank);
+    const unsigned flags = (metadata.repeatable ? repeatable_bit : 0) |
+                           (metadata.bulk ? bulk_bit : 0) |
+                           (metadata.sub_call ? sub_call_bit : 0);
+    std::string text = std::to_string(metadata.rank);
     text += ' ' + std::to_string(flags);
-    text += ' ' + node::to_milliseconds(terms.time_left());
-    text += ' ' + node::to_milliseconds(terms.target);
-    text += ' ' + std::to_string(terms.work_class);
-    text += ' ' + std::to_string(terms.digest);
+    text += ' ' + node::to_milliseconds(metadata.time_left());
+    text += ' ' + node::to_milliseconds(metadata.target);
+    text += ' ' + std::to_string(metadata.work_class);
+    text += ' ' + std::to_string(metadata.digest);
     return text;
 }
 
@@ -151,24 +151,24 @@
 
 } // namespace
 
-void add_terms(const call_terms& terms, wire::headers& to)
+void add_metadata(const call_metadata& metadata, wire::headers& to)
 {
-    add(to, terms_field, format_terms(terms));
-    add(to, id_field, terms.id);
-    add(to, host_field, terms.host);
-    add(to, service_field, terms.service.str());
-    add(to, caller_field, terms.caller_service.str());
-    add(to, from_field, terms.caller_data_center.str());
+    add(to, metadata_field, format_metadata(metadata));
+    add(to, id_field, metadata.id);
+    add(to, host_field, metadata.host);
+    add(to, service_field, metadata.service.str());
+    add(to, caller_field, metadata.caller_service.str());
+    add(to, data_center_field, metadata.caller_data_center.str());
 }
 
-bool has_terms(const wire::headers& fields)
+bool has_metadata(const wire::headers& fields)
 {
-    return wire::find_header(fields, terms_field).has_value();
+    return wire::find_header(fields, metadata_field).has_value();
 }
 
-std::optional<call_terms> parse_terms(const wire::headers& from)
+std::optional<call_metadata> parse_metadata(const wire::headers& from)
 {
-    const auto text = wire::find_header(from, terms_field);
+    const auto text = wire::find_header(from, metadata_field);
     const auto id = wire::find_header(from, id_field);
     const auto service = wire::find_header(from, service_field);
     if (!text || !id || !service || service->empty())
@@ -180,42 +180,42 @@
     unsigned flags = 0;
     std::uint32_t left = 0;
     std::uint32_t target = 0;
-    call_terms terms;
+    call_metadata metadata;
     if (!words.read(rank) || !words.read(flags) || !words.read(left) ||
-        !words.read(target) || !words.read(terms.work_class) ||
+        !words.read(target) || !words.read(metadata.work_class) ||
         rank >= rank_count)
     {
         return std::nullopt;
     }
     // Daemons of an earlier version don't tell it.
-    words.read(terms.digest);
-    terms.id = *id;
-    terms.service = service_name(*service);
-    terms.host = wire::find_header(from, host_field).value_or("");
-    terms.caller_service =
+    words.read(metadata.digest);
+    metadata.id = *id;
+    metadata.service = service_name(*service);
+    metadata.host = wire::find_header(from, host_field).value_or("");
+    metadata.caller_service =
         service_name(wire::find_header(from, caller_field).value_or(""));
-    terms.caller_data_center =
-        data_center_name(wire::find_header(from, from_field).value_or(""));
-    terms.rank = static_cast<std::uint8_t>(rank);
-    terms.repeatable = (flags & repeatable_bit) != 0;
-    terms.bulk = (flags & bulk_bit) != 0;
-    terms.sub_call = (flags & sub_call_bit) != 0;
-    terms.target = std::chrono::milliseconds(target);
-    terms.deadline = host_clock().now() + std::chrono::milliseconds(left);
-    return terms;
+    metadata.caller_data_center = data_center_name(
+        wire::find_header(from, data_center_field).value_or(""));
+    metadata.rank = static_cast<std::uint8_t>(rank);
+    metadata.repeatable = (flags & repeatable_bit) != 0;
+    metadata.bulk = (flags & bulk_bit) != 0;
+    metadata.sub_call = (flags & sub_call_bit) != 0;
+    metadata.target = std::chrono::milliseconds(target);
+    metadata.deadline = host_clock().now() + std::chrono::milliseconds(left);
+    return metadata;
 }
 
-void add_word(const upstream_word& word, wire::headers& to)
+void add_load_report(const upstream_load_report& value, wire::headers& to)
 {
-    add(to, load_field, format_load(word.load));
-    add(to, shed_field, format_shed(word.shed));
-    if (word.is_sub_call)
+    add(to, load_field, format_load(value.load));
+    add(to, shed_field, format_shed(value.shed));
+    if (value.is_sub_call)
     {
         add(to, sub_call_field, "yes");
     }
 }
 
-std::optional<upstream_word> parse_word(const wire::headers& from)
+std::optional<upstream_load_report> parse_load_report(const wire::headers& from)
 {
     const auto text = wire::find_header(from, load_field);
     const auto load = parse_load(text.value_or(""));
@@ -223,33 +223,34 @@
     {
         return std::nullopt;
     }
-    upstream_word word;
-    word.load = *load;
+    upstream_load_report value;
+    value.load = *load;
     const auto shed = wire::find_header(from, shed_field);
-    word.shed = parse_shed(shed.value_or(""));
-    word.is_sub_call = wire::find_header(from, sub_call_field).has_value();
-    return word;
+    value.shed = parse_shed(shed.value_or(""));
+    value.is_sub_call = wire::find_header(from, sub_call_field).has_value();
+    return value;
 }
 
-void add_ended(const ended_upstream& ended, wire::headers& to)
+void add_crashed_upstream(const crashed_upstream& crashed, wire::headers& to)
 {
     add(to,
-        ended_field,
-        std::to_string(ended.upstream) + ' ' +
-            node::to_milliseconds(ended.ran_for));
+        crashed_field,
+        std::to_string(crashed.upstream) + ' ' +
+            node::to_milliseconds(crashed.ran_for));
 }
 
-std::optional<ended_upstream> parse_ended(const wire::headers& from)
+std::optional<crashed_upstream>
+parse_crashed_upstream(const wire::headers& from)
 {
-    field_words words(wire::find_header(from, ended_field).value_or(""));
-    ended_upstream ended;
+    field_words words(wire::find_header(from, crashed_field).value_or(""));
+    crashed_upstream crashed;
     std::uint32_t ran_for = 0;
-    if (!words.read(ended.upstream) || !words.read(ran_for))
+    if (!words.read(crashed.upstream) || !words.read(ran_for))
     {
         return std::nullopt;
     }
-    ended.ran_for = std::chrono::milliseconds(ran_for);
-    return ended;
+    crashed.ran_for = std::chrono::milliseconds(ran_for);
+    return crashed;
 }
 
 wire::headers without_own_fields(const wire::headers& fields)
--- a/nutmegusher/routed/peer_fields.hpp
+++ b/nutmegusher/routed/peer_fields.hpp
@@ -16,7 +16,7 @@
 {
 
 // What the daemon beside the upstream told with an answer or a failure.
-struct upstream_word
+struct upstream_load_report
 {
     upstream_load load;
     // What its service and those below want turned away at the entry.
@@ -25,26 +25,27 @@
     bool is_sub_call = false;
 };
 
-void add_terms(const call_terms& terms, wire::headers& to);
+void add_metadata(const call_metadata& metadata, wire::headers& to);
 
-[[nodiscard]] bool has_terms(const wire::headers& fields);
+[[nodiscard]] bool has_metadata(const wire::headers& fields);
 
 // Nothing where a field is missing or malformed.
-[[nodiscard]] std::optional<call_terms> parse_terms(const wire::headers& from);
+[[nodiscard]] std::optional<call_metadata>
+parse_metadata(const wire::headers& from);
 
 // Levels and shares travel in thousandths, times in whole microseconds.
-void add_word(const upstream_word& word, wire::headers& to);
+void add_load_report(const upstream_load_report& value, wire::headers& to);
 
 // Nothing where no word came, or a malformed one.
-[[nodiscard]] std::optional<upstream_word>
-parse_word(const wire::headers& from);
+[[nodiscard]] std::optional<upstream_load_report>
+parse_load_report(const wire::headers& from);
 
 // "nutmeg-ended: upstream ran-for-milliseconds".
-void add_ended(const ended_upstream& ended, wire::headers& to);
+void add_crashed_upstream(const crashed_upstream& crashed, wire::headers& to);
 
 // Nothing where none came, or a malformed one.
-[[nodiscard]] std::optional<ended_upstream>
-parse_ended(const wire::headers& from);
+[[nodiscard]] std::optional<crashed_upstream>
+parse_crashed_upstream(const wire::headers& from);
 
 // The fields of the caller or the upstream, without the daemons' own.
 [[nodiscard]] wire::headers without_own_fields(const wire::headers& fields);
--- a/nutmegusher/routed/peer_fields_test.cpp
+++ b/nutmegusher/routed/peer_fields_test.cpp
@@ -10,30 +10,30 @@
 
 using namespace std::chrono_literals;
 
-call_terms some_terms()
+call_metadata example_metadata()
 {
-    call_terms terms;
-    terms.id = "id-1";
-    terms.host = "a.example";
-    terms.service = service_name("balances");
-    terms.caller_service = service_name("members");
-    terms.caller_data_center = data_center_name("dc");
-    terms.rank = 2;
-    terms.repeatable = true;
-    terms.sub_call = true;
-    terms.target = 1500ms;
-    terms.deadline = host_clock().now() + 4s;
-    terms.work_class = 0xfedcba9876543210;
-    return terms;
+    call_metadata metadata;
+    metadata.id = "id-1";
+    metadata.host = "a.example";
+    metadata.service = service_name("balances");
+    metadata.caller_service = service_name("members");
+    metadata.caller_data_center = data_center_name("dc");
+    metadata.rank = 2;
+    metadata.repeatable = true;
+    metadata.sub_call = true;
+    metadata.target = 1500ms;
+    metadata.deadline = host_clock().now() + 4s;
+    metadata.work_class = 0xfedcba9876543210;
+    return metadata;
 }
 
-TEST(peer_fields, terms_arrive_as_they_were)
+TEST(peer_fields, metadata_survives_a_round_trip)
 {
-    const auto sent = some_terms();
+    const auto sent = example_metadata();
     wire::headers fields;
-    add_terms(sent, fields);
-    EXPECT_TRUE(has_terms(fields));
-    const auto got = parse_terms(fields);
+    add_metadata(sent, fields);
+    EXPECT_TRUE(has_metadata(fields));
+    const auto got = parse_metadata(fields);
     ASSERT_TRUE(got);
     EXPECT_EQ(got->id, sent.id);
     EXPECT_EQ(got->host, sent.host);
@@ -50,15 +50,15 @@
     EXPECT_GT(got->deadline, sent.deadline - 1s);
 }
 
-TEST(peer_fields, a_word_arrives_as_it_was)
+TEST(peer_fields, a_load_report_survives_a_round_trip)
 {
-    upstream_word sent;
+    upstream_load_report sent;
     sent.load = {31, 4, 29, 22ms, 0.25};
     sent.shed = {{service_name("balances"), 1.5}, {service_name("a=b"), 0}};
     sent.is_sub_call = true;
     wire::headers fields;
-    add_word(sent, fields);
-    const auto got = parse_word(fields);
+    add_load_report(sent, fields);
+    const auto got = parse_load_report(fields);
     ASSERT_TRUE(got);
     EXPECT_EQ(got->load.running, 31U);
     EXPECT_EQ(got->load.waiting, 4U);
@@ -72,9 +72,9 @@
     EXPECT_TRUE(got->is_sub_call);
 }
 
-TEST(peer_fields, malformed_terms_and_words_are_none)
+TEST(peer_fields, malformed_metadata_and_load_reports_are_rejected)
 {
-    const std::array<const char*, 8> terms{
+    const std::array<const char*, 8> metadata{
         "",
         "2 1 4980 1500",
         "2 1 4980 1500 x",
@@ -83,38 +83,38 @@
         "-2 1 4980 1500 7",
         "10 1 4980 1500 7",
         "2 1 99999999999999 1500 7"};
-    for (const auto* text : terms)
+    for (const auto* text : metadata)
     {
         const wire::headers fields{
             {"nutmeg-routed", text},
             {"nutmeg-call", "id-1"},
             {"nutmeg-service", "balances"}};
-        EXPECT_FALSE(parse_terms(fields)) << text;
+        EXPECT_FALSE(parse_metadata(fields)) << text;
     }
     const wire::header good{"nutmeg-routed", "2 1 4980 1500 7"};
     const wire::header id{"nutmeg-call", "id-1"};
-    EXPECT_TRUE(parse_terms({good, id, {"nutmeg-service", "balances"}}));
-    EXPECT_FALSE(parse_terms({good, {"nutmeg-service", "balances"}}));
-    EXPECT_FALSE(parse_terms({good, id}));
-    EXPECT_FALSE(parse_terms({good, id, {"nutmeg-service", ""}}));
-    EXPECT_FALSE(parse_word({}));
-    EXPECT_FALSE(parse_word({{"nutmeg-load", "1 2 3 4"}}));
-    EXPECT_FALSE(parse_word({{"nutmeg-load", "1 2 x 4 5"}}));
+    EXPECT_TRUE(parse_metadata({good, id, {"nutmeg-service", "balances"}}));
+    EXPECT_FALSE(parse_metadata({good, {"nutmeg-service", "balances"}}));
+    EXPECT_FALSE(parse_metadata({good, id}));
+    EXPECT_FALSE(parse_metadata({good, id, {"nutmeg-service", ""}}));
+    EXPECT_FALSE(parse_load_report({}));
+    EXPECT_FALSE(parse_load_report({{"nutmeg-load", "1 2 3 4"}}));
+    EXPECT_FALSE(parse_load_report({{"nutmeg-load", "1 2 x 4 5"}}));
 }
 
-TEST(peer_fields, levels_that_are_malformed_are_left_out)
+TEST(peer_fields, malformed_shed_levels_are_skipped)
 {
-    const auto word = parse_word(
+    const auto load_report = parse_load_report(
         {{"nutmeg-load", "1 2 3 4 5"}, {"nutmeg-shed", "a=x b c=1500 =7"}});
-    ASSERT_TRUE(word);
-    ASSERT_EQ(word->shed.size(), 2U);
-    EXPECT_EQ(word->shed[0].service, service_name("c"));
+    ASSERT_TRUE(load_report);
+    ASSERT_EQ(load_report->shed.size(), 2U);
+    EXPECT_EQ(load_report->shed[0].service, service_name("c"));
 }
 
-TEST(peer_fields, the_daemons_own_fields_are_not_passed_on)
+TEST(peer_fields, the_daemons_own_fields_are_not_forwarded)
 {
     auto fields = wire::headers{{"x-caller", "kept"}};
-    add_terms(some_terms(), fields);
+    add_metadata(example_metadata(), fields);
     const auto kept = without_own_fields(fields);
     ASSERT_EQ(kept.size(), 1U);
     EXPECT_EQ(kept[0].name, "x-caller");
--- a/nutmegusher/routed/fence_test.cpp
+++ b/nutmegusher/routed/reused_address_test.cpp
@@ -15,16 +15,16 @@
 upstream_report
 report_of(const std::string& service, const scripted_upstream& at)
 {
-    upstream_report said;
-    said.id = "i-" + service;
-    said.service = service_name(service);
-    said.address = at.address();
-    said.slots = 4;
-    said.order = {1, 1};
-    return said;
+    upstream_report new_report;
+    new_report.id = "i-" + service;
+    new_report.service = service_name(service);
+    new_report.address = at.address();
+    new_report.slots = 4;
+    new_report.order = {1, 1};
+    return new_report;
 }
 
-class fence : public routed_path
+class reused_address : public routed_path
 {
 protected:
     // Counts and answers.
@@ -42,11 +42,13 @@
     }
 };
 
-TEST_F(fence, a_call_that_reaches_an_upstream_of_another_service_does_not_run)
+TEST_F(
+    reused_address,
+    a_call_that_reaches_an_upstream_of_another_service_does_not_run)
 {
     std::atomic<int> runs = 0;
     start(counting(runs));
-    beside->state.local.report(report_of("statements", *upstream));
+    upstream_node->state.local.report(report_of("statements", *upstream));
     const auto answer = ask("/pay/1", "id-1", "amount 7");
     EXPECT_EQ(answer.result_int(), 503U);
     EXPECT_EQ(answer["nutmeg-outcome"], "not-run");
@@ -55,13 +57,13 @@
 }
 
 // Also one that may not be repeated, and each of them within one request.
-TEST_F(fence, it_runs_on_another_upstream_of_its_service_instead)
+TEST_F(reused_address, a_call_runs_on_another_upstream_of_its_service)
 {
     std::atomic<int> wrong = 0;
     std::atomic<int> right = 0;
     start(counting(wrong));
     start_another(counting(right));
-    beside->state.local.report(report_of("statements", *upstream));
+    upstream_node->state.local.report(report_of("statements", *upstream));
     for (int i = 0; i < 20; ++i)
     {
         const auto id = "id-" + std::to_string(i);
@@ -72,20 +74,20 @@
 }
 
 // The upstream gives way to one of another service while the call waits.
-TEST_F(fence, it_holds_after_the_wait_for_a_slot)
+TEST_F(reused_address, the_service_is_checked_again_after_the_wait_for_a_slot)
 {
     std::atomic<int> runs = 0;
     start(counting(runs));
-    beside->state.slots.set_slots(1);
+    upstream_node->state.slots.set_slots(1);
     call_facts other;
-    other.ticket = beside->state.slots.next_ticket();
+    other.ticket = upstream_node->state.slots.next_ticket();
     other.deadline = host_clock().now() + std::chrono::minutes(1);
     asio::io_context context;
     asio::co_spawn(
         context,
         [&]() -> asio::awaitable<void>
         {
-            co_await beside->state.slots.enter(other);
+            co_await upstream_node->state.slots.enter(other);
         },
         asio::detached);
     context.run();
@@ -95,12 +97,12 @@
         {
             return ask("/pay/1", "id-1", "amount 7");
         });
-    while (beside->state.slots.state().waiting == 0)
+    while (upstream_node->state.slots.state().waiting == 0)
     {
         std::this_thread::yield();
     }
-    beside->state.local.report(report_of("statements", *upstream));
-    beside->state.slots.finish(other.ticket, call_result::ok);
+    upstream_node->state.local.report(report_of("statements", *upstream));
+    upstream_node->state.slots.finish(other.ticket, call_result::ok);
     const auto answer = asked.get();
     EXPECT_EQ(answer.result_int(), 503U);
     EXPECT_EQ(answer["nutmeg-reason"], "other-upstream");
--- a/nutmegusher/routed/routed_call.hpp
+++ b/nutmegusher/routed/routed_call.hpp
@@ -23,7 +23,7 @@
 namespace asio = boost::asio;
 
 // What the daemon beside the upstream must know of a request.
-struct call_terms
+struct call_metadata
 {
     // The caller's attempt, as it named it.
     std::string id;
@@ -55,14 +55,14 @@
 
 struct routed_call
 {
-    call_terms terms;
+    call_metadata metadata;
     // Method, path and the fields that are passed on.
     wire::request_head head;
     std::string body;
 };
 
 // An upstream that has ended with the call at work.
-struct ended_upstream
+struct crashed_upstream
 {
     // Names it and its start.
     std::uint64_t upstream = 0;
@@ -73,11 +73,11 @@
 struct failed_call
 {
     // Reason, what is known of its execution, when to come back.
-    node::refusal told;
+    node::refusal details;
     // It reached the upstream, and may count as one of its tries.
     bool sent = false;
     // Set where the call is suspected of the upstream's end.
-    std::optional<ended_upstream> ended = std::nullopt;
+    std::optional<crashed_upstream> crashed = std::nullopt;
 };
 
 // The rest of an answer that is too long to be kept whole.
@@ -106,12 +106,12 @@
 // Answers up to this size are passed on only when they are whole, so that a
 // broken one can still be fetched elsewhere. Thirty times the mean answer of
 // the users' largest class.
-inline constexpr std::size_t kept_answer_bytes = 256 * 1024;
+inline constexpr std::size_t max_buffered_answer_bytes = 256 * 1024;
 
 // When a caller may ask again about a request that isn't run any more, or that
 // is run one at a time.
-inline constexpr duration come_back_from_quarantine = std::chrono::minutes(1);
-inline constexpr duration come_back_as_suspect = std::chrono::seconds(1);
+inline constexpr duration retry_after_quarantine = std::chrono::minutes(1);
+inline constexpr duration retry_after_suspected = std::chrono::seconds(1);
 
 using routed_result = outcome<routed_answer, failed_call>;
 
--- a/nutmegusher/routed/routed_path_test.cpp
+++ b/nutmegusher/routed/routed_path_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace test_path;
 
-TEST_F(routed_path, passes_request_and_answer_on_unchanged)
+TEST_F(routed_path, forwards_request_and_answer_unchanged)
 {
     std::mutex mutex;
     std::vector<text_request> seen;
@@ -41,7 +41,7 @@
 
 // The second answer to the first request stands where the second request's
 // answer is expected.
-TEST_F(routed_path, an_extra_answer_is_given_to_nobody)
+TEST_F(routed_path, an_extra_answer_reaches_no_caller)
 {
     start(
         [](tcp::socket& socket)
@@ -81,7 +81,7 @@
     EXPECT_EQ(runs, 1);
 }
 
-TEST_F(routed_path, what_the_upstream_refused_is_told_as_not_run)
+TEST_F(routed_path, an_upstream_refusal_is_reported_as_not_run)
 {
     start(
         [](tcp::socket& socket)
@@ -89,10 +89,10 @@
             beast::flat_buffer buffer;
             while (const auto request = read_request(socket, buffer))
             {
-                auto no = answer_to(id_of(*request), "");
-                no.result(http::status::service_unavailable);
-                no.set("nutmeg-not-run", "full");
-                http::write(socket, no);
+                auto rejection = answer_to(id_of(*request), "");
+                rejection.result(http::status::service_unavailable);
+                rejection.set("nutmeg-not-run", "full");
+                http::write(socket, rejection);
             }
         });
     const auto answer = ask("/pay/1", "id-1", "amount 7");
@@ -100,7 +100,7 @@
     EXPECT_EQ(answer["nutmeg-outcome"], "not-run");
 }
 
-TEST_F(routed_path, an_answer_that_ends_early_is_not_passed_on)
+TEST_F(routed_path, an_answer_that_ends_early_is_not_forwarded)
 {
     start(
         [](tcp::socket& socket)
@@ -130,10 +130,10 @@
             http::request_parser<http::string_body> parser;
             boost::system::error_code failed;
             http::read_header(socket, buffer, parser, failed);
-            auto no = answer_to(
+            auto rejection = answer_to(
                 std::string(parser.get()["nutmeg-request-id"]), "too long");
-            no.result(http::status::payload_too_large);
-            http::write(socket, no, failed);
+            rejection.result(http::status::payload_too_large);
+            http::write(socket, rejection, failed);
             // Reads on only after the caller has its answer.
             std::this_thread::sleep_for(std::chrono::milliseconds(300));
             std::array<char, 65536> rest{};
@@ -186,7 +186,8 @@
     EXPECT_EQ(runs, 1);
 }
 
-TEST_F(routed_path, without_routes_it_is_sent_away_in_a_quarter_of_its_time)
+TEST_F(
+    routed_path, without_routes_a_request_is_refused_in_a_quarter_of_its_time)
 {
     std::atomic<int> runs = 0;
     start_without_routes(counting(runs));
@@ -199,14 +200,15 @@
     EXPECT_EQ(ask("/pay/1", "id-2", large).result_int(), 503U);
 }
 
-TEST_F(routed_path, a_caller_that_leaves_before_the_first_routes_is_forgotten)
+TEST_F(
+    routed_path, a_call_whose_caller_leaves_before_the_first_routes_is_dropped)
 {
     std::atomic<int> runs = 0;
     start_without_routes(counting(runs));
     {
         asio::io_context context;
         tcp::socket socket(context);
-        socket.connect(entry->callers->local_endpoint());
+        socket.connect(entry->caller_server->local_endpoint());
         http::write(socket, make_request("/pay/1", "id-1", "amount 7"));
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
@@ -223,7 +225,7 @@
     EXPECT_EQ(ask("/views/1", "id-1").result_int(), 200U);
     EXPECT_EQ(ask("/views/2", "id-2").result_int(), 200U);
     EXPECT_EQ(ask("/other/", "id-3").result_int(), 404U);
-    beside->state.local.withdraw("i-1");
+    upstream_node->state.local.withdraw("i-1");
     EXPECT_EQ(ask("/pay/1", "id-4", "amount 7").result_int(), 503U);
     const auto text = entry->shared.measured.exposition();
     const auto has = [&text](std::string_view line)
@@ -242,7 +244,7 @@
         << text;
 }
 
-TEST_F(routed_path, a_leaving_upstream_gets_nothing_new)
+TEST_F(routed_path, a_leaving_upstream_gets_no_new_calls)
 {
     std::atomic<int> runs = 0;
     start(
@@ -256,7 +258,7 @@
             }
         });
     EXPECT_EQ(ask("/views/1", "id-1").body(), "done");
-    beside->state.local.withdraw("i-1");
+    upstream_node->state.local.withdraw("i-1");
     EXPECT_EQ(ask("/views/2", "id-2").result_int(), 503U);
     EXPECT_EQ(runs, 1);
 }
@@ -309,7 +311,7 @@
 
 // Where nobody tells of the errors all of the requests fail: the upstream that
 // fails at once looks like the least loaded.
-TEST_F(failing_upstream, its_errors_are_asked_for_elsewhere)
+TEST_F(failing_upstream, its_errors_are_retried_at_another_upstream)
 {
     start_both(http::status::ok);
     int failed = 0;
@@ -332,7 +334,7 @@
     }
 }
 
-TEST_F(failing_upstream, an_error_is_passed_on_where_nothing_better_comes)
+TEST_F(failing_upstream, an_error_is_forwarded_when_the_retry_fails_too)
 {
     start_both(http::status::internal_server_error);
     for (int i = 0; i < requests; ++i)
@@ -346,7 +348,7 @@
 // It runs the call, and every second answer is lost: nothing that may not be
 // repeated can be saved then, but sent elsewhere in the first place. A tenth of
 // the calls is what finding it may cost.
-TEST_F(failing_upstream, one_that_loses_its_answers_is_avoided)
+TEST_F(failing_upstream, an_upstream_that_loses_its_answers_is_avoided)
 {
     std::atomic<int> count = 0;
     start(
@@ -375,20 +377,20 @@
 }
 
 // It turns calls away although it has slots for them.
-TEST_F(failing_upstream, one_that_turns_calls_away_is_avoided)
+TEST_F(failing_upstream, an_upstream_that_refuses_calls_is_avoided)
 {
-    int turned_away = 0;
+    int refused_calls = 0;
     start(
-        [&turned_away](tcp::socket& socket)
+        [&refused_calls](tcp::socket& socket)
         {
             beast::flat_buffer buffer;
             while (const auto request = read_request(socket, buffer))
             {
-                ++turned_away;
-                auto no = answer_to(id_of(*request), "");
-                no.result(http::status::service_unavailable);
-                no.set("nutmeg-not-run", "full");
-                http::write(socket, no);
+                ++refused_calls;
+                auto rejection = answer_to(id_of(*request), "");
+                rejection.result(http::status::service_unavailable);
+                rejection.set("nutmeg-not-run", "full");
+                http::write(socket, rejection);
             }
         });
     start_another(answering(http::status::ok));
@@ -396,7 +398,7 @@
     {
         static_cast<void>(ask("/pay/1", "id-" + std::to_string(i), "amount 7"));
     }
-    EXPECT_LE(turned_away, requests / 10);
+    EXPECT_LE(refused_calls, requests / 10);
 }
 
 } // namespace
--- a/nutmegusher/routed/routed_state.cpp
+++ b/nutmegusher/routed/routed_state.cpp
@@ -6,70 +6,73 @@
 {
 
 retry_allowance&
-repeat_allowances::find(const service_name& service, bool is_sub_call)
+retry_allowances::find(const service_name& service, bool is_sub_call)
 {
     const double ratio = is_sub_call ? retry_allowance::ratio_of_sub_calls
                                      : retry_allowance::ratio_of_requests;
-    auto& all = is_sub_call ? of_sub_calls_ : of_requests_;
+    auto& all = is_sub_call ? sub_call_allowances_ : request_allowances_;
     return all.try_emplace(service, ratio).first->second;
 }
 
-void repeat_allowances::on_call(const service_name& service, bool is_sub_call)
+void retry_allowances::on_call(const service_name& service, bool is_sub_call)
 {
     const std::scoped_lock lock(mutex_);
     find(service, is_sub_call).on_call();
 }
 
-bool repeat_allowances::take(const service_name& service, bool is_sub_call)
+bool retry_allowances::take(const service_name& service, bool is_sub_call)
 {
     const std::scoped_lock lock(mutex_);
     return find(service, is_sub_call).take();
 }
 
-void way_ahead::hear(std::uint64_t route, std::span<const shed_level> levels)
+void call_path_levels::record(
+    std::uint64_t route, std::span<const shed_level> levels)
 {
     const auto now = host_clock().now();
     const std::scoped_lock lock(mutex_);
     for (const auto& each : levels)
     {
-        requests_.note(route, each, now);
+        by_route_.note(route, each, now);
     }
 }
 
-void way_ahead::hear_below(
+void call_path_levels::record_sub_call(
     const service_name& called, std::span<const shed_level> levels)
 {
     const auto now = host_clock().now();
     const std::scoped_lock lock(mutex_);
-    called_.insert(called);
+    called_services_.insert(called);
     for (const auto& each : levels)
     {
-        sub_calls_.note(stable_hash(called.str()), each, now);
+        by_called_service_.note(stable_hash(called.str()), each, now);
     }
 }
 
-double way_ahead::level(std::uint64_t route) const
+double call_path_levels::level(std::uint64_t route) const
 {
     const std::scoped_lock lock(mutex_);
-    return requests_.level(route, host_clock().now());
+    return by_route_.level(route, host_clock().now());
 }
 
-std::vector<shed_level> way_ahead::below(const service_name& called) const
+std::vector<shed_level>
+call_path_levels::sub_call_levels(const service_name& called) const
 {
     const std::scoped_lock lock(mutex_);
-    return sub_calls_.levels(stable_hash(called.str()), host_clock().now());
+    return by_called_service_.levels(
+        stable_hash(called.str()), host_clock().now());
 }
 
-std::vector<service_name> way_ahead::called() const
+std::vector<service_name> call_path_levels::called() const
 {
     const std::scoped_lock lock(mutex_);
-    return {called_.begin(), called_.end()};
+    return {called_services_.begin(), called_services_.end()};
 }
 
-bool turned_away::decide(
-    std::uint8_t rank, std::uint64_t route, double part, double fraction)
+bool entry_shedding::decide(
+    std::uint8_t rank, std::uint64_t route, double shed_share, double fraction)
 {
-    if (part <= 0)
+    if (shed_share <= 0)
     {
         return false;
     }
@@ -77,17 +80,17 @@
     const std::scoped_lock lock(mutex_);
     auto& order = orders_.at(rank);
     order.on_request(route, now);
-    return order.share_of(route, part, now) > fraction;
+    return order.share_of(route, shed_share, now) > fraction;
 }
 
-void turned_away::on_answer(
+void entry_shedding::on_answer(
     std::uint8_t rank, std::uint64_t route, duration elapsed)
 {
     const std::scoped_lock lock(mutex_);
     orders_.at(rank).on_answer(route, elapsed);
 }
 
-opening& entry_opening::window()
+opening& entry_slow_start::window()
 {
     if (!window_)
     {
@@ -96,25 +99,25 @@
     return *window_;
 }
 
-void entry_opening::wait(std::uint8_t rank)
+void entry_slow_start::wait(std::uint8_t rank)
 {
     const std::scoped_lock lock(mutex_);
     window().wait(rank);
 }
 
-void entry_opening::leave(std::uint8_t rank)
+void entry_slow_start::leave(std::uint8_t rank)
 {
     const std::scoped_lock lock(mutex_);
     window().leave(rank);
 }
 
-bool entry_opening::enter(std::uint8_t rank)
+bool entry_slow_start::enter(std::uint8_t rank)
 {
     const std::scoped_lock lock(mutex_);
     return window().enter(rank, host_clock().now());
 }
 
-void entry_opening::on_answer(double level)
+void entry_slow_start::on_answer(double level)
 {
     const std::scoped_lock lock(mutex_);
     window().on_answer(level, host_clock().now());
@@ -123,54 +126,54 @@
 void sub_call_routes::count(std::uint64_t route, const service_name& caller)
 {
     const std::scoped_lock lock(mutex_);
-    census_.note(route, caller);
+    classifier_.note(route, caller);
 }
 
-bool sub_call_routes::is_counted(std::uint64_t route) const
+bool sub_call_routes::is_counted_sub_call(std::uint64_t route) const
 {
     const std::scoped_lock lock(mutex_);
-    return census_.is_sub_call(route);
+    return classifier_.is_sub_call(route);
 }
 
-void sub_call_routes::learn(std::uint64_t route, bool is_sub_call)
+void sub_call_routes::on_report(std::uint64_t route, bool is_sub_call)
 {
     const std::scoped_lock lock(mutex_);
-    told_[route] = is_sub_call;
+    reported_[route] = is_sub_call;
 }
 
-bool sub_call_routes::is_known(std::uint64_t route) const
+bool sub_call_routes::is_reported_sub_call(std::uint64_t route) const
 {
     const std::scoped_lock lock(mutex_);
-    const auto found = told_.find(route);
-    return found != told_.end() && found->second;
+    const auto found = reported_.find(route);
+    return found != reported_.end() && found->second;
 }
 
-bool sub_call_routes::is_ruled_out(std::uint64_t route) const
+bool sub_call_routes::is_reported_request(std::uint64_t route) const
 {
     const std::scoped_lock lock(mutex_);
-    const auto found = told_.find(route);
-    return found != told_.end() && !found->second;
+    const auto found = reported_.find(route);
+    return found != reported_.end() && !found->second;
 }
 
-void own_errors::on_answer(const data_center_name& from, bool error)
+void upstream_errors::on_answer(const data_center_name& from, bool error)
 {
     const std::scoped_lock lock(mutex_);
     meter_.on_answer(from, error, host_clock().now());
 }
 
-void own_errors::on_failed_call()
+void upstream_errors::on_failed_call()
 {
     const std::scoped_lock lock(mutex_);
     meter_.on_failed_call(host_clock().now());
 }
 
-void own_errors::forget()
+void upstream_errors::reset()
 {
     const std::scoped_lock lock(mutex_);
     meter_ = error_meter();
 }
 
-double own_errors::share(const data_center_name& from) const
+double upstream_errors::share(const data_center_name& from) const
 {
     const std::scoped_lock lock(mutex_);
     return meter_.share(from, host_clock().now());
@@ -187,9 +190,9 @@
 {
 }
 
-void routed_state::note_unreachable(const std::string& id)
+void routed_state::mark_unreachable(const std::string& id)
 {
-    if (local.unreachable(id))
+    if (local.mark_unreachable(id))
     {
         upstream_changed();
     }
--- a/nutmegusher/routed/routed_state.hpp
+++ b/nutmegusher/routed/routed_state.hpp
@@ -24,7 +24,7 @@
 {
 
 // Repeats that this daemon may still make, by service.
-class repeat_allowances
+class retry_allowances
 {
 public:
     void on_call(const service_name& service, bool is_sub_call);
@@ -37,21 +37,21 @@
     find(const service_name& service, bool is_sub_call);
 
     std::mutex mutex_;
-    allowances of_requests_;
-    allowances of_sub_calls_;
+    allowances request_allowances_;
+    allowances sub_call_allowances_;
 };
 
 // What answers tell of the services on the way, and what this host's own
 // upstream passes on of it.
-class way_ahead
+class call_path_levels
 {
 public:
     // An answer to a request of the route brought these levels.
-    void hear(std::uint64_t route, std::span<const shed_level> levels);
+    void record(std::uint64_t route, std::span<const shed_level> levels);
 
     // The same, and the own upstream made the request.
-    void
-    hear_below(const service_name& called, std::span<const shed_level> levels);
+    void record_sub_call(
+        const service_name& called, std::span<const shed_level> levels);
 
     // The highest level on the way of requests of the route.
     [[nodiscard]] double level(std::uint64_t route) const;
@@ -59,26 +59,29 @@
     // What is wanted turned away on the way of calls that the upstream on
     // this host makes of the service.
     [[nodiscard]] std::vector<shed_level>
-    below(const service_name& called) const;
+    sub_call_levels(const service_name& called) const;
 
     // The services that it calls.
     [[nodiscard]] std::vector<service_name> called() const;
 
 private:
     mutable std::mutex mutex_;
-    shed_board requests_;
-    shed_board sub_calls_;
-    std::set<service_name> called_;
+    shed_board by_route_;
+    shed_board by_called_service_;
+    std::set<service_name> called_services_;
 };
 
 // Which requests that enter here are turned away: `shed_order` by rank.
-class turned_away
+class entry_shedding
 {
 public:
-    // Decides on a request of the route; `part`: of its rank.
+    // Decides on a request of the route; `shed_share`: of its rank.
     // `fraction`: its own number in [0, 1).
     bool decide(
-        std::uint8_t rank, std::uint64_t route, double part, double fraction);
+        std::uint8_t rank,
+        std::uint64_t route,
+        double shed_share,
+        double fraction);
     // One that was let in has its answer.
     void on_answer(std::uint8_t rank, std::uint64_t route, duration elapsed);
 
@@ -88,7 +91,7 @@
 };
 
 // An `opening` for all worker threads, from the first request on.
-class entry_opening
+class entry_slow_start
 {
 public:
     void wait(std::uint8_t rank);
@@ -110,23 +113,23 @@
     // A call of the route came to the upstream on this host.
     void count(std::uint64_t route, const service_name& caller);
     // Whether it is one, by the calls counted here.
-    [[nodiscard]] bool is_counted(std::uint64_t route) const;
+    [[nodiscard]] bool is_counted_sub_call(std::uint64_t route) const;
 
     // An answer told.
-    void learn(std::uint64_t route, bool is_sub_call);
+    void on_report(std::uint64_t route, bool is_sub_call);
     // Whether it is one, by what answers told.
-    [[nodiscard]] bool is_known(std::uint64_t route) const;
+    [[nodiscard]] bool is_reported_sub_call(std::uint64_t route) const;
     // Whether it is none, by what answers told.
-    [[nodiscard]] bool is_ruled_out(std::uint64_t route) const;
+    [[nodiscard]] bool is_reported_request(std::uint64_t route) const;
 
 private:
     mutable std::mutex mutex_;
-    caller_census census_;
-    std::unordered_map<std::uint64_t, bool> told_;
+    caller_census classifier_;
+    std::unordered_map<std::uint64_t, bool> reported_;
 };
 
 // The errors of the upstream on this host: see `error_meter`.
-class own_errors
+class upstream_errors
 {
 public:
     // It answered a call that came from the data centre.
@@ -134,7 +137,7 @@
     // A call that it made itself failed.
     void on_failed_call();
     // Another process of the upstream has started.
-    void forget();
+    void reset();
 
     [[nodiscard]] double share(const data_center_name& from) const;
 
@@ -154,17 +157,17 @@
     const request_dialect names;
     local_upstream local;
     slot_gate slots;
-    repeat_allowances repeats;
-    way_ahead ahead;
-    turned_away shed;
-    entry_opening opening_window;
+    retry_allowances retries;
+    call_path_levels path_levels;
+    entry_shedding shed;
+    entry_slow_start slow_start;
     sub_call_routes sub_calls;
-    own_errors errors;
+    upstream_errors errors;
     // Tells the rest of the process that `local` has changed.
     const std::function<void()> upstream_changed;
 
     // The upstream didn't take a connection.
-    void note_unreachable(const std::string& id);
+    void mark_unreachable(const std::string& id);
 };
 
 } // namespace nutmegusher::routed
--- a/nutmegusher/routed/silent_host_test.cpp
+++ b/nutmegusher/routed/silent_host_test.cpp
@@ -16,20 +16,20 @@
 protected:
     void SetUp() override
     {
-        relaying = std::thread(
+        relay_thread = std::thread(
             [this]
             {
                 const auto guard = asio::make_work_guard(relay_context);
                 relay_context.run();
             });
         start(counting(runs_on_silent));
-        put_relay_before(*beside);
+        put_relay_before(*upstream_node);
     }
 
     void TearDown() override
     {
         relay_context.stop();
-        relaying.join();
+        relay_thread.join();
     }
 
     void put_relay_before(routed_node& node)
@@ -37,10 +37,10 @@
         on_relays(
             [this, &node]
             {
-                const auto target = node.peers->local_endpoint();
-                auto made =
+                const auto target = node.peer_server->local_endpoint();
+                auto relay =
                     std::make_unique<wire::tcp_relay>(relay_context, target);
-                relays.push_back(std::move(made));
+                relays.push_back(std::move(relay));
             });
         std::ostringstream address;
         address << relays.back()->endpoint();
@@ -99,10 +99,10 @@
     std::atomic<int> runs_on_other = 0;
     asio::io_context relay_context;
     std::vector<std::unique_ptr<wire::tcp_relay>> relays;
-    std::thread relaying;
+    std::thread relay_thread;
 };
 
-TEST_F(silent_host, what_may_not_run_twice_is_proved_not_to_have_run)
+TEST_F(silent_host, an_unrepeatable_call_is_reported_as_not_run)
 {
     EXPECT_EQ(ask("/pay/1", "id-1", "amount 7").result_int(), 200U);
     silence();
@@ -111,7 +111,7 @@
     EXPECT_EQ(runs_on_silent, 1);
 }
 
-TEST_F(silent_host, it_runs_elsewhere_in_the_same_request)
+TEST_F(silent_host, an_unrepeatable_call_runs_on_another_upstream)
 {
     EXPECT_EQ(ask("/pay/1", "id-1", "amount 7").result_int(), 200U);
     start_another(counting(runs_on_other));
@@ -126,7 +126,7 @@
 
 // Two hosts of three go at once: the loss of a call shows the first one, and
 // no other call is lost to the second.
-TEST_F(silent_host, one_loss_makes_calls_ask_before_they_are_sent)
+TEST_F(silent_host, after_one_loss_calls_confirm_their_session_first)
 {
     start_another(counting(runs_on_silent));
     put_relay_before(*other);
--- a/nutmegusher/routed/slot_gate.cpp
+++ b/nutmegusher/routed/slot_gate.cpp
@@ -13,7 +13,7 @@
 
 // A waiting call looks again no sooner than this: its timer may fire a little
 // before the queue finds it hopeless.
-constexpr duration shortest_wait = std::chrono::milliseconds(2);
+constexpr duration min_wait = std::chrono::milliseconds(2);
 
 // While an upstream is pressed, its state is logged this often.
 constexpr duration log_interval = std::chrono::seconds(1);
@@ -34,26 +34,26 @@
 asio::awaitable<node::gate_verdict> slot_gate::enter(call_facts call)
 {
     auto executor = co_await asio::this_coro::executor;
-    std::shared_ptr<node::waiting_calls::waiter> mine;
+    std::shared_ptr<node::waiting_calls::waiter> waiter;
     time_point until;
     {
         const std::scoped_lock lock(mutex_);
         const auto now = host_clock().now();
-        const auto at = queue_.arrive(call, now);
+        const auto decision = queue_.arrive(call, now);
         log_pressure(now);
-        waiting_.deliver(at.others);
-        if (const auto* no = std::get_if<refused>(&at.verdict))
+        waiting_.deliver(decision.others);
+        if (const auto* rejection = std::get_if<refused>(&decision.verdict))
         {
-            co_return *no;
+            co_return *rejection;
         }
-        if (std::holds_alternative<admitted>(at.verdict))
+        if (std::holds_alternative<admitted>(decision.verdict))
         {
             co_return admitted();
         }
-        mine = waiting_.add(call.ticket, executor);
+        waiter = waiting_.add(call.ticket, executor);
         until = next_event();
     }
-    auto verdict = co_await node::waiting_calls::wait(mine, until);
+    auto verdict = co_await node::waiting_calls::wait(waiter, until);
     while (!verdict)
     {
         {
@@ -61,16 +61,17 @@
             waiting_.deliver(queue_.tick(host_clock().now()));
             until = next_event();
         }
-        verdict = co_await node::waiting_calls::wait(mine, until);
+        verdict = co_await node::waiting_calls::wait(waiter, until);
     }
     co_return *verdict;
 }
 
 void slot_gate::log_pressure(time_point now)
 {
-    const auto present = queue_.state();
-    const bool pressed = present.waiting > 0 || present.shed_level > 0;
-    if (!pressed || now < next_log_)
+    const auto queue_state = queue_.state();
+    const bool is_congested =
+        queue_state.waiting > 0 || queue_state.shed_level > 0;
+    if (!is_congested || now < next_log_)
     {
         return;
     }
@@ -78,17 +79,17 @@
     using milliseconds = std::chrono::duration<double, std::milli>;
     log_event(
         event::upstream_pressed,
-        {{"slots", std::uint64_t{present.slots}},
-         {"running", std::uint64_t{present.running}},
-         {"waiting", std::uint64_t{present.waiting}},
-         {"demand", present.demand},
-         {"level", present.shed_level},
-         {"hold_ms", milliseconds(present.hold).count()}});
+        {{"slots", std::uint64_t{queue_state.slots}},
+         {"running", std::uint64_t{queue_state.running}},
+         {"waiting", std::uint64_t{queue_state.waiting}},
+         {"demand", queue_state.demand},
+         {"level", queue_state.shed_level},
+         {"hold_ms", milliseconds(queue_state.hold).count()}});
 }
 
 time_point slot_gate::next_event() const
 {
-    const auto soonest = host_clock().now() + shortest_wait;
+    const auto soonest = host_clock().now() + min_wait;
     return std::max(queue_.next_event().value_or(soonest), soonest);
 }
 
--- a/nutmegusher/routed/test_path.hpp
+++ b/nutmegusher/routed/test_path.hpp
@@ -39,10 +39,10 @@
 public:
     using script = std::function<void(tcp::socket&)>;
 
-    explicit scripted_upstream(script what)
+    explicit scripted_upstream(script behavior)
         : acceptor_(context_, any_port)
-        , script_(std::move(what))
-        , accepting_(
+        , script_(std::move(behavior))
+        , accept_thread_(
               [this]
               {
                   accept();
@@ -56,13 +56,13 @@
         boost::system::error_code ignored;
         tcp::socket wake(context_);
         wake.connect(acceptor_.local_endpoint(), ignored);
-        accepting_.join();
+        accept_thread_.join();
         const std::scoped_lock lock(mutex_);
         for (auto& socket : sockets_)
         {
             socket->shutdown(tcp::socket::shutdown_both, ignored);
         }
-        for (auto& each : serving_)
+        for (auto& each : connection_threads_)
         {
             each.join();
         }
@@ -81,7 +81,7 @@
             auto socket = std::make_shared<tcp::socket>(acceptor_.accept());
             const std::scoped_lock lock(mutex_);
             sockets_.push_back(socket);
-            serving_.emplace_back(
+            connection_threads_.emplace_back(
                 [this, socket]
                 {
                     if (!stopping_)
@@ -100,8 +100,8 @@
     std::atomic<bool> stopping_ = false;
     std::mutex mutex_;
     std::vector<std::shared_ptr<tcp::socket>> sockets_;
-    std::vector<std::thread> serving_;
-    std::thread accepting_;
+    std::vector<std::thread> connection_threads_;
+    std::thread accept_thread_;
 };
 
 inline std::optional<text_request>
@@ -115,12 +115,12 @@
 
 inline text_response answer_to(std::string_view id, std::string_view body)
 {
-    text_response made(http::status::ok, 11);
-    made.set("nutmeg-request-id", beast::string_view(id.data(), id.size()));
-    made.set("x-own", "kept");
-    made.body() = body;
-    made.prepare_payload();
-    return made;
+    text_response result(http::status::ok, 11);
+    result.set("nutmeg-request-id", beast::string_view(id.data(), id.size()));
+    result.set("x-own", "kept");
+    result.body() = body;
+    result.prepare_payload();
+    return result;
 }
 
 inline std::string id_of(const text_request& request)
@@ -134,27 +134,27 @@
 public:
     explicit routed_node(const std::string& host)
         : shared(make_settings(host), incarnation(1))
-        , here(shared, 0)
+        , worker(shared, 0)
         , state(shared, request_dialect(), [] {})
     {
         node::http_server_options options;
-        callers = std::move(node::http_server::listen(
-                                here.context,
-                                any_port,
-                                [this](node::caller_exchange& exchange)
-                                {
-                                    return serve_routed_request(
-                                        here, state, exchange);
-                                },
-                                options)
-                                .value());
-        peers = std::move(
+        caller_server = std::move(node::http_server::listen(
+                                      worker.context,
+                                      any_port,
+                                      [this](node::caller_exchange& exchange)
+                                      {
+                                          return serve_routed_request(
+                                              worker, state, exchange);
+                                      },
+                                      options)
+                                      .value());
+        peer_server = std::move(
             wire::server::listen(
-                here.context,
+                worker.context,
                 any_port,
                 [this](std::shared_ptr<wire::server_stream> stream)
                 {
-                    return serve_routed_call(here, state, std::move(stream));
+                    return serve_routed_call(worker, state, std::move(stream));
                 },
                 wire::session_options(),
                 false)
@@ -163,7 +163,7 @@
 
     ~routed_node()
     {
-        here.context.stop();
+        worker.context.stop();
         thread.join();
     }
 
@@ -172,26 +172,26 @@
         thread = std::thread(
             [this]
             {
-                here.context.run();
+                worker.context.run();
             });
     }
 
     static node::settings make_settings(const std::string& host)
     {
-        node::settings made;
-        made.host.id = host_id(host);
-        made.host.data_center = data_center_name("dc");
-        made.host.region = region_name("region");
-        made.upstream.service = service_name("members");
-        made.dialect = "test";
-        return made;
+        node::settings result;
+        result.host.id = host_id(host);
+        result.host.data_center = data_center_name("dc");
+        result.host.region = region_name("region");
+        result.upstream.service = service_name("members");
+        result.dialect = "test";
+        return result;
     }
 
     node::controllers shared;
-    node::worker here;
+    node::worker worker;
     routed_state state;
-    std::unique_ptr<node::http_server> callers;
-    std::unique_ptr<wire::server> peers;
+    std::unique_ptr<node::http_server> caller_server;
+    std::unique_ptr<wire::server> peer_server;
     std::thread thread;
 };
 
@@ -208,10 +208,10 @@
     {
         upstream = std::make_unique<scripted_upstream>(std::move(script));
         entry = std::make_unique<routed_node>("entry");
-        beside = std::make_unique<routed_node>("beside");
-        announce(*beside, *upstream);
+        upstream_node = std::make_unique<routed_node>("beside");
+        announce(*upstream_node, *upstream);
         entry->start();
-        beside->start();
+        upstream_node->start();
     }
 
     void install_routes()
@@ -237,13 +237,13 @@
     // The daemon's upstream serves, and the entry knows it.
     void announce(routed_node& node, const scripted_upstream& serves)
     {
-        upstream_report said;
-        said.id = "i-1";
-        said.service = service_name("balances");
-        said.address = serves.address();
-        said.slots = 4;
-        said.order = {1, 1};
-        node.state.local.report(said);
+        upstream_report new_report;
+        new_report.id = "i-1";
+        new_report.service = service_name("balances");
+        new_report.address = serves.address();
+        new_report.slots = 4;
+        new_report.order = {1, 1};
+        node.state.local.report(new_report);
         node.state.slots.set_slots(4);
         messages::upstream_record record;
         record.set_host(node.shared.configured.host.id.str());
@@ -251,7 +251,7 @@
         record.set_region("region");
         record.set_state(messages::upstream_serving);
         std::ostringstream address;
-        address << node.peers->local_endpoint();
+        address << node.peer_server->local_endpoint();
         record.set_address(address.str());
         records.push_back(record);
         entry->shared.routes.update(service_name("balances"), records);
@@ -296,7 +296,7 @@
     {
         asio::io_context context;
         tcp::socket socket(context);
-        socket.connect(entry->callers->local_endpoint());
+        socket.connect(entry->caller_server->local_endpoint());
         http::write(socket, make_request(path, id, body));
         beast::flat_buffer buffer;
         text_response answer;
@@ -310,7 +310,7 @@
     std::unique_ptr<scripted_upstream> upstream;
     std::unique_ptr<scripted_upstream> other_upstream;
     std::unique_ptr<routed_node> entry;
-    std::unique_ptr<routed_node> beside;
+    std::unique_ptr<routed_node> upstream_node;
     std::unique_ptr<routed_node> other;
 };
 
--- a/nutmegusher/routed/upstream_side.cpp
+++ b/nutmegusher/routed/upstream_side.cpp
@@ -13,26 +13,26 @@
 
 using node::call_reason;
 
-constexpr std::size_t piece_bytes = 16384;
-constexpr unsigned status_other_upstream = 421;
+constexpr std::size_t chunk_bytes = 16384;
+constexpr unsigned status_misdirected_request = 421;
 constexpr unsigned status_error = 400;
 constexpr unsigned status_server_error = 500;
-constexpr unsigned status_time_limit = 504;
+constexpr unsigned status_gateway_timeout = 504;
 // An upstream that can't be connected to has ended or is starting; another one
 // of its service takes the call.
-constexpr duration come_back_elsewhere = std::chrono::milliseconds(50);
+constexpr duration retry_elsewhere_after = std::chrono::milliseconds(50);
 // Without an upstream on this host or with one that leaves.
-constexpr duration come_back_later = std::chrono::milliseconds(250);
+constexpr duration retry_after_leaving = std::chrono::milliseconds(250);
 
-failed_call not_run(call_reason reason, duration come_back)
+failed_call not_run(call_reason reason, duration retry_after)
 {
-    return {{reason, call_outcome::not_run, come_back}, false};
+    return {{reason, call_outcome::not_run, retry_after}, false};
 }
 
-failed_call refused_by_upstream(duration come_back)
+failed_call refused_by_upstream(duration retry_after)
 {
     return {
-        {call_reason::upstream_refused, call_outcome::not_run, come_back},
+        {call_reason::upstream_refused, call_outcome::not_run, retry_after},
         true};
 }
 
@@ -41,12 +41,12 @@
     return {{reason, call_outcome::unknown, duration::zero()}, true};
 }
 
-failed_call to_failed(node::upstream_failure failure)
+failed_call to_failed_call(node::upstream_failure failure)
 {
     switch (failure)
     {
     case node::upstream_failure::not_connected:
-        return not_run(call_reason::no_upstream, come_back_elsewhere);
+        return not_run(call_reason::no_upstream, retry_elsewhere_after);
     case node::upstream_failure::timed_out:
         return unknown(call_reason::deadline);
     case node::upstream_failure::cancelled:
@@ -104,7 +104,7 @@
     watched_run(node::crash_watch& crashes, std::uint64_t digest)
         : crashes_(crashes)
         , digest_(digest)
-        , begun_(host_clock().now())
+        , started_at_(host_clock().now())
         , ticket_(crashes.begin_run(digest))
     {
     }
@@ -114,7 +114,7 @@
 
     ~watched_run()
     {
-        if (!ended_)
+        if (!finished_)
         {
             crashes_.leave_run(ticket_);
         }
@@ -122,16 +122,16 @@
 
     void complete()
     {
-        if (!std::exchange(ended_, true))
+        if (!std::exchange(finished_, true))
         {
             crashes_.complete_run(ticket_, digest_);
         }
     }
 
     // Its connection broke; it is remembered, as the upstream may have ended.
-    void lose()
+    void mark_lost()
     {
-        if (!std::exchange(ended_, true))
+        if (!std::exchange(finished_, true))
         {
             crashes_.lose_run(ticket_);
         }
@@ -139,15 +139,15 @@
 
     [[nodiscard]] duration elapsed() const
     {
-        return host_clock().now() - begun_;
+        return host_clock().now() - started_at_;
     }
 
 private:
     node::crash_watch& crashes_;
     std::uint64_t digest_;
-    time_point begun_;
+    time_point started_at_;
     work_in_progress::ticket ticket_;
-    bool ended_ = false;
+    bool finished_ = false;
 };
 
 // The rest of a long answer; holds connection and slot.
@@ -172,7 +172,7 @@
         {
             if (got.error() == node::upstream_failure::broken)
             {
-                run_->lose();
+                run_->mark_lost();
             }
             co_return std::nullopt;
         }
@@ -191,18 +191,18 @@
     std::unique_ptr<watched_run> run_;
 };
 
-call_facts facts_of(const call_terms& terms, ticket_id ticket)
+call_facts facts_of(const call_metadata& metadata, ticket_id ticket)
 {
     call_facts facts;
     facts.ticket = ticket;
-    facts.rank = terms.rank;
-    facts.work_class = terms.work_class;
-    facts.request = stable_hash(terms.id);
-    facts.deadline = terms.deadline;
-    facts.target = terms.target;
-    facts.bulk = terms.bulk;
-    facts.sub_call = terms.sub_call;
-    facts.repeatable = terms.repeatable;
+    facts.rank = metadata.rank;
+    facts.work_class = metadata.work_class;
+    facts.request = stable_hash(metadata.id);
+    facts.deadline = metadata.deadline;
+    facts.target = metadata.target;
+    facts.bulk = metadata.bulk;
+    facts.sub_call = metadata.sub_call;
+    facts.repeatable = metadata.repeatable;
     return facts;
 }
 
@@ -226,11 +226,11 @@
 {
 public:
     upstream_run(
-        node::worker& here,
+        node::worker& worker,
         routed_state& state,
         const routed_call& call,
         cancel_flag cancelled)
-        : here_(here)
+        : worker_(worker)
         , state_(state)
         , call_(call)
         , cancelled_(std::move(cancelled))
@@ -244,7 +244,7 @@
             co_return *refused_call;
         }
         state_.sub_calls.count(
-            call_.terms.work_class, call_.terms.caller_service);
+            call_.metadata.work_class, call_.metadata.caller_service);
         const auto ticket = state_.slots.next_ticket();
         const auto refused_call = co_await wait_for_slot(ticket);
         if (refused_call)
@@ -270,13 +270,13 @@
     [[nodiscard]] std::optional<failed_call>
     check_upstream(const std::optional<upstream_report>& to) const
     {
-        if (to && to->service != call_.terms.service)
+        if (to && to->service != call_.metadata.service)
         {
-            return not_run(call_reason::other_upstream, come_back_elsewhere);
+            return not_run(call_reason::other_upstream, retry_elsewhere_after);
         }
         if (!to || !state_.local.takes_calls())
         {
-            return not_run(call_reason::leaving, come_back_later);
+            return not_run(call_reason::leaving, retry_after_leaving);
         }
         return std::nullopt;
     }
@@ -288,12 +288,13 @@
         {
             slots.cancel(ticket);
         };
-        const auto facts = facts_of(call_.terms, ticket);
+        const auto facts = facts_of(call_.metadata, ticket);
         const auto verdict = co_await slots.enter(facts);
         cancelled_->stop = nullptr;
-        if (const auto* no = std::get_if<refused>(&verdict))
+        if (const auto* rejection = std::get_if<refused>(&verdict))
         {
-            co_return not_run(to_reason(no->reason), no->come_back_after);
+            co_return not_run(
+                to_reason(rejection->reason), rejection->come_back_after);
         }
         if (std::holds_alternative<node::gone>(verdict))
         {
@@ -312,27 +313,27 @@
         {
             co_return *refused_call;
         }
-        if (call_.terms.time_left() <= duration::zero())
+        if (call_.metadata.time_left() <= duration::zero())
         {
             co_return not_run(call_reason::deadline, duration::zero());
         }
-        const auto judged = state_.process.crashes.judge(call_.terms.digest);
-        if (judged.suspicion == crash_suspicion::quarantined)
+        const auto judgement =
+            state_.process.crashes.judge(call_.metadata.digest);
+        if (judgement.suspicion == crash_suspicion::quarantined)
         {
-            co_return not_run(
-                call_reason::quarantined, come_back_from_quarantine);
+            co_return not_run(call_reason::quarantined, retry_after_quarantine);
         }
         const auto request = make_request(*to);
         run_ = std::make_unique<watched_run>(
-            state_.process.crashes, call_.terms.digest);
-        auto sent = co_await here_.upstreams.send(to->address, request);
+            state_.process.crashes, call_.metadata.digest);
+        auto sent = co_await worker_.upstreams.send(to->address, request);
         if (!sent)
         {
             if (sent.error() == node::upstream_failure::not_connected)
             {
-                state_.note_unreachable(to->id);
+                state_.mark_unreachable(to->id);
             }
-            co_return to_failed(sent.error());
+            co_return to_failed_call(sent.error());
         }
         slot_->set_result(call_result::failed);
         upstream_ = *std::move(sent);
@@ -347,32 +348,32 @@
         };
         auto result = co_await read_answer();
         cancelled_->stop = nullptr;
-        if (!result && is_lost_)
+        if (!result && connection_lost_)
         {
             auto failed = result.error();
-            failed.ended = co_await find_end(*to);
+            failed.crashed = co_await detect_crash(*to);
             co_return failed;
         }
         co_return result;
     }
 
     // The upstream's end, where it has ended and the call is suspected of it.
-    asio::awaitable<std::optional<ended_upstream>>
-    find_end(const upstream_report& to)
+    asio::awaitable<std::optional<crashed_upstream>>
+    detect_crash(const upstream_report& to)
     {
         const auto ran_for = run_->elapsed();
-        run_->lose();
-        if (co_await here_.upstreams.is_listening(to.address))
+        run_->mark_lost();
+        if (co_await worker_.upstreams.is_listening(to.address))
         {
             co_return std::nullopt;
         }
         auto& crashes = state_.process.crashes;
-        const ended_upstream ended{
+        const crashed_upstream crashed{
             stable_hash(to.id, to.order.started), ran_for};
-        crashes.on_upstream_ended(ended.upstream, to.id, to.service);
-        state_.note_unreachable(to.id);
-        const bool is_suspected = crashes.judge(call_.terms.digest).ends > 0;
-        co_return is_suspected ? std::optional(ended) : std::nullopt;
+        crashes.on_upstream_ended(crashed.upstream, to.id, to.service);
+        state_.mark_unreachable(to.id);
+        const bool is_suspected = crashes.judge(call_.metadata.digest).ends > 0;
+        co_return is_suspected ? std::optional(crashed) : std::nullopt;
     }
 
     [[nodiscard]] node::upstream_request
@@ -385,15 +386,15 @@
         {
             request.head.fields.push_back({name, std::move(value)});
         };
-        add("host", call_.terms.host);
-        add(names.request_id, call_.terms.id);
-        add(names.time_left, node::to_milliseconds(call_.terms.time_left()));
+        add("host", call_.metadata.host);
+        add(names.request_id, call_.metadata.id);
+        add(names.time_left, node::to_milliseconds(call_.metadata.time_left()));
         add(names.expected_upstream, to.id);
-        add(names.caller_service, call_.terms.caller_service.str());
+        add(names.caller_service, call_.metadata.caller_service.str());
         request.body = call_.body;
-        request.needs_fresh_connection = !call_.terms.repeatable;
+        request.needs_fresh_connection = !call_.metadata.repeatable;
         request.echoed_field = names.request_id;
-        request.time_left = call_.terms.time_left();
+        request.time_left = call_.metadata.time_left();
         return request;
     }
 
@@ -403,18 +404,18 @@
         if (!head)
         {
             note_failure(head.error());
-            co_return to_failed(head.error());
+            co_return to_failed_call(head.error());
         }
         const bool says_not_run =
             wire::find_header(head->fields, state_.names.not_run).has_value();
-        if (says_not_run || head->status == status_other_upstream)
+        if (says_not_run || head->status == status_misdirected_request)
         {
             // It gets no more calls than it has slots: what it turns away all
             // the same it would not have to.
-            note_answer(head->status != status_other_upstream);
+            note_answer(head->status != status_misdirected_request);
             slot_->set_result(call_result::shed_by_upstream);
-            co_await skip_rest();
-            co_return refused_by_upstream(come_back_elsewhere);
+            co_await drain_body();
+            co_return refused_by_upstream(retry_elsewhere_after);
         }
         if (!is_acceptable(*head))
         {
@@ -428,7 +429,8 @@
     // One at the time limit says more of the call than of the upstream.
     static bool is_error(unsigned status)
     {
-        return status >= status_server_error && status != status_time_limit;
+        return status >= status_server_error &&
+               status != status_gateway_timeout;
     }
 
     // A success must bring the upstream's signature and its own encoding.
@@ -446,7 +448,7 @@
 
     void note_answer(bool error)
     {
-        state_.errors.on_answer(call_.terms.caller_data_center, error);
+        state_.errors.on_answer(call_.metadata.caller_data_center, error);
     }
 
     void note_failure(node::upstream_failure failure)
@@ -460,7 +462,7 @@
             slot_->set_result(call_result::cancelled);
             break;
         case node::upstream_failure::broken:
-            is_lost_ = true;
+            connection_lost_ = true;
             note_answer(true);
             break;
         default:
@@ -472,13 +474,13 @@
     }
 
     // So that the connection can be used again.
-    asio::awaitable<void> skip_rest()
+    asio::awaitable<void> drain_body()
     {
-        std::array<std::byte, piece_bytes> piece;
-        auto got = co_await upstream_->read_some(piece);
+        std::array<std::byte, chunk_bytes> chunk;
+        auto got = co_await upstream_->read_some(chunk);
         while (got && *got > 0)
         {
-            got = co_await upstream_->read_some(piece);
+            got = co_await upstream_->read_some(chunk);
         }
     }
 
@@ -487,17 +489,17 @@
         routed_answer answer;
         answer.head = std::move(head);
         answer.length = upstream_->content_length();
-        std::array<std::byte, piece_bytes> piece;
-        while (answer.body.size() <= kept_answer_bytes)
+        std::array<std::byte, chunk_bytes> chunk;
+        while (answer.body.size() <= max_buffered_answer_bytes)
         {
-            const auto got = co_await upstream_->read_some(piece);
+            const auto got = co_await upstream_->read_some(chunk);
             if (!got)
             {
                 note_failure(got.error());
-                auto failed = to_failed(got.error());
-                if (failed.told.reason == call_reason::connection_lost)
+                auto failed = to_failed_call(got.error());
+                if (failed.details.reason == call_reason::connection_lost)
                 {
-                    failed.told.reason = call_reason::answer_broken;
+                    failed.details.reason = call_reason::answer_broken;
                 }
                 co_return failed;
             }
@@ -508,14 +510,14 @@
                 co_return answer;
             }
             answer.body.append(
-                reinterpret_cast<const char*>(piece.data()), *got);
+                reinterpret_cast<const char*>(chunk.data()), *got);
         }
         answer.rest = std::make_unique<upstream_rest>(
             std::move(upstream_), std::move(slot_), std::move(run_));
         co_return answer;
     }
 
-    node::worker& here_;
+    node::worker& worker_;
     routed_state& state_;
     const routed_call& call_;
     cancel_flag cancelled_;
@@ -525,18 +527,18 @@
     // Set while the upstream may be at work on the call.
     std::unique_ptr<watched_run> run_;
     // The connection to the upstream broke before the whole answer.
-    bool is_lost_ = false;
+    bool connection_lost_ = false;
 };
 
 } // namespace
 
 asio::awaitable<routed_result> run_on_upstream(
-    node::worker& here,
+    node::worker& worker,
     routed_state& state,
     const routed_call& call,
     cancel_flag cancelled)
 {
-    upstream_run run(here, state, call, std::move(cancelled));
+    upstream_run run(worker, state, call, std::move(cancelled));
     co_return co_await run.run();
 }
 
--- a/nutmegusher/routed/upstream_side.hpp
+++ b/nutmegusher/routed/upstream_side.hpp
@@ -13,7 +13,7 @@
 // sent, or the upstream says so. A call whose caller has gone is taken back
 // from the upstream at once.
 asio::awaitable<routed_result> run_on_upstream(
-    node::worker& here,
+    node::worker& worker,
     routed_state& state,
     const routed_call& call,
     cancel_flag cancelled);
--- a/nutmegusher/routes/route_table.cpp
+++ b/nutmegusher/routes/route_table.cpp
@@ -28,16 +28,16 @@
 
 request_route to_route(const messages::request_route& from)
 {
-    request_route made;
-    made.name = from.name();
-    made.path_prefix = from.path_prefix();
-    made.repeatable = from.repeatable();
-    made.bulk = from.bulk();
-    made.deadline = std::chrono::milliseconds(from.deadline_ms());
-    made.target = std::chrono::milliseconds(from.target_ms());
-    made.rank = static_cast<std::uint8_t>(std::min(from.rank(), lowest_rank));
-    made.max_tries = from.max_tries();
-    made.hash = stable_hash(from.name());
+    request_route result;
+    result.name = from.name();
+    result.path_prefix = from.path_prefix();
+    result.repeatable = from.repeatable();
+    result.bulk = from.bulk();
+    result.deadline = std::chrono::milliseconds(from.deadline_ms());
+    result.target = std::chrono::milliseconds(from.target_ms());
+    result.rank = static_cast<std::uint8_t>(std::min(from.rank(), lowest_rank));
+    result.max_tries = from.max_tries();
+    result.hash = stable_hash(from.name());
     double sum = 0;
     for (const auto& each : from.destinations())
     {
@@ -45,10 +45,10 @@
     }
     for (const auto& each : from.destinations())
     {
-        made.destinations.push_back(
+        result.destinations.push_back(
             {service_name(each.service()), each.weight() / sum});
     }
-    return made;
+    return result;
 }
 
 } // namespace
@@ -79,17 +79,17 @@
 
 route_table route_table::create(const messages::route_document& document)
 {
-    route_table made;
-    made.version_ = document.version();
-    made.limits_ = document.limits();
+    route_table result;
+    result.version_ = document.version();
+    result.limits_ = document.limits();
     for (const auto& each : document.routes())
     {
         const auto host = lower_case_host(each.host());
         auto route = to_route(each);
-        made.ranks_.insert(route.rank);
-        made.by_host_[host].push_back(std::move(route));
+        result.ranks_.insert(route.rank);
+        result.by_host_[host].push_back(std::move(route));
     }
-    for (auto& [host, routes] : made.by_host_)
+    for (auto& [host, routes] : result.by_host_)
     {
         std::stable_sort(
             routes.begin(),
@@ -99,26 +99,26 @@
                 return left.path_prefix.size() > right.path_prefix.size();
             });
     }
-    return made;
+    return result;
 }
 
 const request_route*
 route_table::find(std::string_view host, std::string_view path) const
 {
-    const auto of_host = by_host_.find(lower_case_host(host));
-    if (of_host == by_host_.end())
+    const auto host_routes = by_host_.find(lower_case_host(host));
+    if (host_routes == by_host_.end())
     {
         return nullptr;
     }
-    const auto plain = path.substr(0, path.find('?'));
+    const auto path_without_query = path.substr(0, path.find('?'));
     const auto found = std::find_if(
-        of_host->second.begin(),
-        of_host->second.end(),
-        [plain](const request_route& route)
+        host_routes->second.begin(),
+        host_routes->second.end(),
+        [path_without_query](const request_route& route)
         {
-            return plain.starts_with(route.path_prefix);
+            return path_without_query.starts_with(route.path_prefix);
         });
-    return found == of_host->second.end() ? nullptr : &*found;
+    return found == host_routes->second.end() ? nullptr : &*found;
 }
 
 std::size_t route_table::ranks_below(std::uint8_t rank) const
