--- a/nutmegusher/membership/subset.cpp
+++ b/nutmegusher/membership/subset.cpp
@@ -77,12 +77,12 @@
 
     std::vector<std::size_t> chosen;
     chosen.reserve(taken_near + taken_far);
-    for (std::size_t locality = 0; locality < all.size(); ++locality)
+    for (std::size_t index = 0; index < all.size(); ++index)
     {
-        const bool is_near = locality < near;
-        if (is_near ? locality < taken_near : locality - near < taken_far)
+        const bool is_near = index < near;
+        if (is_near ? index < taken_near : index - near < taken_far)
         {
-            chosen.push_back(all[locality].position);
+            chosen.push_back(all[index].position);
         }
     }
     return chosen;
