--- a/nutmegusher/membership/change_index.hpp
+++ b/nutmegusher/membership/change_index.hpp
@@ -1,4 +1,4 @@
-// What changed since a stamp.
+// An index of the changes since a stamp.
 #ifndef NUTMEGUSHER_MEMBERSHIP_CHANGE_INDEX_HPP
 #define NUTMEGUSHER_MEMBERSHIP_CHANGE_INDEX_HPP
 
@@ -14,36 +14,40 @@
 namespace nutmegusher::internal
 {
 
-// Hosts by the stamp of their last change, those that went included, each once.
-// The cost of asking is that of the answer.
+// Indexes hosts by the stamp of their last change. Each host is listed once;
+// removed hosts are kept as tombstones. A query costs time proportional to the
+// number of changes that it returns, plus one lookup.
 class change_index
 {
 public:
-    // One host's last change.
+    // The last change of one host.
     struct change
     {
         std::string_view host;
         bool removed = false;
     };
 
-    // The host is here, and changed at `stamp`. Requires: stamps rise.
+    // Adds or updates the host with a change at `stamp`. Requires: stamps
+    // increase from call to call.
     void put(std::string_view host, std::uint64_t stamp);
 
-    // The host went at `stamp`; nothing where it wasn't here.
+    // Replaces the host by a tombstone at `stamp`. Does nothing if the host is
+    // not present.
     void remove(std::string_view host, std::uint64_t stamp, time_point now);
 
-    // The same, whether or not it was here.
+    // Like `remove`, but adds the tombstone even if the host is not present.
     void
     put_tombstone(std::string_view host, std::uint64_t stamp, time_point now);
 
-    // As if it had never been here.
+    // Erases the host without a tombstone.
     void erase(std::string_view host);
 
-    // Forgets those that went before `before`; readers with older stamps need a
-    // complete list from then on.
+    // Erases the tombstones of hosts that were removed before `before`. Readers
+    // with older stamps then need a complete list.
     void purge_tombstones(time_point before);
 
-    // Whether a reader at `stamp` can be given changes only.
+    // Returns whether the index holds all changes since `stamp`. If not, the
+    // reader needs a complete list.
     [[nodiscard]] bool covers_changes_since(std::uint64_t stamp) const
     {
         return stamp >= last_purged_stamp_;
@@ -65,7 +69,7 @@
         }
     }
 
-    // Hosts that are here now.
+    // Returns the number of hosts, without tombstones.
     [[nodiscard]] std::size_t size() const
     {
         return present_count_;
--- a/nutmegusher/membership/lease_registry.cpp
+++ b/nutmegusher/membership/lease_registry.cpp
@@ -139,8 +139,8 @@
         owned_.remove(host, ++stamp_, now);
     }
     value.owner = std::exchange(value.fallback_owner, std::string());
-    // It is asked for all of its leases, as it won't speak of this one by
-    // itself; should it have ended it as well, the lease runs out.
+    // Requests all leases of the new owner, since it won't send this one again
+    // unprompted. If it has ended the lease as well, the lease expires here.
     owners_[value.owner].epoch = 0;
     set_expiry(value, now + options_.lease());
     return std::next(at);
@@ -153,7 +153,7 @@
         if (now - state.last_update_at > options_.owner_silence_timeout)
         {
             limit_expiry(now - options_.lease(), owner);
-            // All of them are needed again, should it come back.
+            // Requests all of its leases if it becomes reachable again.
             state.epoch = 0;
         }
     }
@@ -202,8 +202,9 @@
     }
 }
 
-// A registry that has just started lacks most leases: until the daemons and the
-// other control hosts had time to fill it, absence means nothing.
+// A registry that has just started lacks most leases. Until the daemons and the
+// other control hosts have had time to send them, a missing lease doesn't mean
+// that the daemon is gone.
 void lease_registry::settle(time_point now)
 {
     if (settled_stamp_ != 0 || now < started_at_ + options_.lease())
@@ -283,7 +284,8 @@
             });
     }
     reply.set_accepted(true);
-    // Before it has settled, a list says who is here, and not who isn't.
+    // Before the registry has settled, an upstream that is not listed may still
+    // be alive, so the list isn't marked complete.
     reply.set_upstreams_complete(complete && settled_stamp_ != 0);
     reply.set_stamp(stamp_);
     reply.set_registry_epoch(epoch_);
@@ -453,16 +455,17 @@
     end_lease(found, now);
 }
 
-// Others may believe another owner: it is said again that the daemon lives
-// here.
+// Other control hosts may have accepted another owner, so the lease is sent to
+// them again.
 void lease_registry::reannounce(const std::string& host)
 {
     owned_.put(host, ++stamp_);
 }
 
-// The new owner announces a daemon that moved. Only when it had time for that,
-// the old one says that its own lease ended, for those who hear just the old
-// one.
+// When a daemon moves, its new owner sends the lease to all control hosts. The
+// previous owner reports the end of its own lease only after a lease duration,
+// so that the new owner's update usually arrives first. Control hosts that
+// reach only the previous owner still learn that the lease ended.
 void lease_registry::end_handovers(time_point now)
 {
     while (!handovers_.empty() &&
@@ -478,8 +481,8 @@
     }
 }
 
-// Daemons whose owner can't vouch for them any more have one lease's time to
-// renew with another one.
+// Daemons whose owner is unavailable have one lease duration to renew at
+// another control host.
 void lease_registry::limit_expiry(time_point now, const std::string& owner)
 {
     for (auto& [host, value] : entries_)
--- a/nutmegusher/membership/membership.hpp
+++ b/nutmegusher/membership/membership.hpp
@@ -1,13 +1,14 @@
-// Who serves what, and who needs to know.
+// Service discovery: which hosts serve which service, and how daemons learn it.
 //
-// - `lease_registry` at a control host: the leases of the daemons, what changed
-//   for whom, and the exchange with the other control hosts.
+// - `lease_registry` at a control host: the leases of the daemons, the changes
+//   that each daemon still needs, and the exchange with other control hosts.
 // - `upstream_view` at a daemon: the upstreams of the services that it calls,
-//   and a stable subset of a large one.
-// - `sync_schedule` at a daemon: which control host to use, and when.
-// - `hedge_schedule` at a daemon: when to ask another one besides.
+//   and a stable subset of the upstreams of a large service.
+// - `sync_schedule` at a daemon: which control host to sync with, and when.
+// - `hedge_schedule` at a daemon: when to ask a second control host as well.
 //
-// All are pure state machines for one thread: time comes in as a parameter.
+// All are state machines without I/O, for use by one thread. The caller passes
+// the time in.
 #ifndef NUTMEGUSHER_MEMBERSHIP_MEMBERSHIP_HPP
 #define NUTMEGUSHER_MEMBERSHIP_MEMBERSHIP_HPP
 
--- a/nutmegusher/membership/rollout_tally.cpp
+++ b/nutmegusher/membership/rollout_tally.cpp
@@ -42,8 +42,9 @@
 messages::rollout_summary rollout_tally::summary() const
 {
     messages::rollout_summary out;
-    // Where there are too many revisions, the lowest stand for those between
-    // them and the highest; nothing is counted as further than it is.
+    // If there are too many revisions, the daemons of the highest ones are
+    // counted under the highest remaining revision, so that the summary never
+    // overstates the progress of a daemon.
     const std::size_t merged =
         counts_.size() > max_revisions ? counts_.size() - max_revisions : 0;
     std::size_t carried = 0;
