--- a/nutmegusher/membership/subset.hpp
+++ b/nutmegusher/membership/subset.hpp
@@ -1,4 +1,4 @@
-// A stable part of a large service.
+// Chooses a stable subset of the upstreams of a large service.
 #ifndef NUTMEGUSHER_MEMBERSHIP_SUBSET_HPP
 #define NUTMEGUSHER_MEMBERSHIP_SUBSET_HPP
 
@@ -12,7 +12,7 @@
 namespace nutmegusher
 {
 
-// Where a daemon is.
+// The data centre and region of a host.
 struct locality
 {
     data_center_name data_center;
@@ -23,27 +23,27 @@
 
 struct subset_options
 {
-    // How many upstreams of one service a daemon connects to. Bounds its
-    // connections and what it must watch.
+    // The most upstreams of one service that a daemon connects to. Bounds its
+    // connections and the number of upstreams that it monitors.
     std::size_t max_size = 20;
-    // So many of them are outside the own data centre, so that its loss leaves
-    // somewhere to go.
+    // How many of them are reserved for upstreams outside the daemon's own data
+    // centre, so that some remain reachable when that data centre is lost.
     std::size_t max_far = 5;
 };
 
-// One upstream that may be chosen.
+// An upstream that may be chosen.
 struct subset_candidate
 {
     std::string_view host;
     locality at;
 };
 
-// Chooses by rendezvous hashing with the chooser's name as the seed: each
-// chooser gets others, so that the load spreads, and a change of one candidate
-// changes at most two of those that are chosen.
+// Chooses candidates by rendezvous hashing with the name of `self` as the seed.
+// Each daemon gets a different subset, so the load spreads over all upstreams.
+// Adding or removing one candidate changes at most two of the chosen ones.
 //
-// First come those of the own data centre, then those of the own region, then
-// the rest. Gives positions in `candidates`, in that order.
+// Candidates in the own data centre come first, then those in the own region,
+// then the rest. Returns indices into `candidates`, in that order.
 [[nodiscard]] std::vector<std::size_t> choose_subset(
     const host_id& self,
     const locality& own_locality,
--- a/nutmegusher/membership/sync_schedule.cpp
+++ b/nutmegusher/membership/sync_schedule.cpp
@@ -9,6 +9,7 @@
 namespace
 {
 
+// A random duration, uniform from 0 to `bound`.
 duration jitter(duration bound, random_engine& random)
 {
     const auto part = uniform_unit(random) * static_cast<double>(bound.count());
@@ -134,8 +135,8 @@
     {
         return;
     }
-    // Those that went silent may be back: each is asked once its backoff is
-    // over, the most wanted first.
+    // Fails back to the most preferred nearer candidate whose backoff is over.
+    // If there is none, to the most preferred one after its backoff.
     const auto nearer_end =
         candidates_.begin() + static_cast<std::ptrdiff_t>(current_);
     const auto nearer = std::find_if(
@@ -177,7 +178,7 @@
     const auto usable = candidates_[current_].usable_at;
     const auto max_jitter =
         ever_succeeded_ ? options_.failover_jitter : options_.startup_jitter;
-    // The one in use goes on at once after a failed way back.
+    // After a failed failback the current host is asked again at once.
     next_attempt_at_ =
         was_failback ? now : std::max(now, usable) + jitter(max_jitter, random);
     if (was_failback)
@@ -261,10 +262,11 @@
     }
 }
 
-// Of those that may be tried now the one that failed least lately, and among
-// equals the most wanted; or the one whose backoff is over first. By preference
-// alone two near hosts that each take a second and a half to fail were tried in
-// turns for 19 s, and a sound third one never.
+// Returns the candidate with the fewest consecutive failures among those whose
+// backoff is over, and among equals the most preferred one. If all are backing
+// off, returns the one whose backoff ends first. An earlier rule used the
+// preference alone: two near hosts that each took 1.5 s to fail were then tried
+// in turns for 19 s, and a healthy third one was never tried.
 std::size_t sync_schedule::best(time_point now) const
 {
     std::size_t soonest = 0;
--- a/nutmegusher/membership/upstream_view.cpp
+++ b/nutmegusher/membership/upstream_view.cpp
@@ -19,7 +19,8 @@
 {
     if (services_.insert(service.str()).second)
     {
-        // The stamp says nothing about a service that wasn't asked for.
+        // The stamp doesn't cover the new service, so the next request must ask
+        // for complete lists.
         stamp_ = 0;
         epoch_ = 0;
     }
--- a/nutmegusher/membership/upstream_view.hpp
+++ b/nutmegusher/membership/upstream_view.hpp
@@ -1,4 +1,4 @@
-// The upstreams that a daemon knows.
+// The upstreams that a daemon knows of.
 #ifndef NUTMEGUSHER_MEMBERSHIP_UPSTREAM_VIEW_HPP
 #define NUTMEGUSHER_MEMBERSHIP_UPSTREAM_VIEW_HPP
 
@@ -19,7 +19,7 @@
 namespace nutmegusher
 {
 
-// What a reply changed; hosts by name.
+// The hosts whose records a reply changed.
 struct view_change
 {
     std::vector<host_id> added;
@@ -32,7 +32,7 @@
     }
 };
 
-// Whoever follows the view, for example the pool of connections.
+// Receives the changes of a view, for example a connection pool.
 template <class T>
 concept view_observer = requires(
     T& observer, const messages::upstream_record& record, const host_id& host)
@@ -48,16 +48,17 @@
         } -> std::same_as<void>;
 };
 
-// Applies the replies of whichever control host the daemon syncs with. Without
-// one it keeps what it has: an upstream is only dropped when a control host
-// says that it went, or gives a list of the service without it.
+// Holds a daemon's upstream records and applies the replies of the control host
+// that it currently syncs with. While no control host is reachable, the view
+// keeps its records: an upstream is removed only when a control host reports it
+// as lost or sends a complete list without it.
 //
-// Of two records of a host the higher (incarnation, version) holds, so a
-// control host that lags can't bring back what was left behind.
+// Of two records of a host, the one with the higher (incarnation, version)
+// wins, so a lagging control host can't restore an outdated record.
 //
 //     upstream_view view(self, own_locality);
 //     view.add_service(service_name("balances"));
-//     view.fill_request(request);              // services, stamp, epoch
+//     view.fill_request(request);           // services, stamp, epoch
 //     notify(view, view.apply(reply), pool);
 //     for (const auto* record : view.subset(service_name("balances"))) ...
 //
@@ -68,24 +69,27 @@
     upstream_view(
         host_id self, locality own_locality, subset_options options = {});
 
-    // Adds a service that is needed from now on.
+    // Subscribes to a service. The next request asks for complete lists.
     void add_service(const service_name& service);
 
-    // Fills in what the control host needs to know to answer.
+    // Fills in the subscribed services and the stamp and epoch of the last
+    // reply.
     void fill_request(messages::sync_request& request) const;
 
+    // Applies a reply and returns the changes. Ignores a reply that wasn't
+    // accepted, and records of services that weren't subscribed to.
     view_change apply(const messages::sync_reply& reply);
 
-    // Null where the host isn't known.
+    // Returns null if the host isn't known.
     [[nodiscard]] const messages::upstream_record*
     find(const host_id& host) const;
 
-    // All of a service, those that leave included.
+    // Returns all known upstreams of a service, whatever their state.
     [[nodiscard]] std::vector<const messages::upstream_record*>
     all(const service_name& service) const;
 
-    // Those to send work to: serving, and a stable part of them where there are
-    // many; near ones first.
+    // Returns the upstreams to send requests to, near ones first: those in the
+    // serving state, or a stable subset if there are many.
     [[nodiscard]] std::vector<const messages::upstream_record*>
     subset(const service_name& service) const;
 
@@ -95,7 +99,7 @@
     }
 
 private:
-    // The last state of a host that was removed.
+    // The last incarnation and version of a removed host.
     struct tombstone
     {
         std::string host;
@@ -119,11 +123,11 @@
     std::set<std::string> services_;
     std::unordered_map<std::string, messages::upstream_record> records_;
     std::map<std::string, std::set<std::string>> by_service_;
-    // Bounded; the oldest is forgotten first.
+    // At most `max_tombstones`, the oldest first.
     std::deque<tombstone> tombstones_;
 };
 
-// Tells an observer what a reply changed, removals first.
+// Notifies an observer of the changes of a reply, removals first.
 template <view_observer Observer>
 void notify(
     const upstream_view& view, const view_change& change, Observer& observer)
