--- a/nutmegusher/membership/hedge_schedule_test.cpp
+++ b/nutmegusher/membership/hedge_schedule_test.cpp
@@ -27,8 +27,8 @@
     }
 }
 
-// The host that holds the sync goes silent right after an answer, and a change
-// is accepted elsewhere in that moment.
+// The control host stops replying right after a reply, and another one accepts
+// a change at that moment. Both hedges must be sent in time for the change.
 TEST(hedge_schedule, sends_two_hedges_before_a_change_is_due)
 {
     random_engine random(1);
@@ -48,7 +48,7 @@
     EXPECT_EQ(hedges.due(), start + hedge_options().reply_wait);
 }
 
-// All of control is gone for a minute.
+// All control hosts are unavailable for a minute.
 TEST(hedge_schedule, backs_off_while_nobody_knows_more)
 {
     random_engine random(1);
--- a/nutmegusher/membership/lease_registry_test.cpp
+++ b/nutmegusher/membership/lease_registry_test.cpp
@@ -38,7 +38,7 @@
 class lease_registry_test : public ::testing::Test
 {
 protected:
-    // A caller's question after its last reply.
+    // The request that a daemon sends after its last reply.
     messages::sync_request next_request() const
     {
         messages::sync_request out;
@@ -201,7 +201,8 @@
     EXPECT_EQ(sum.lagging(revision(100))[0].running_revision, revision(1));
 }
 
-// The clock of its host was set back before the daemon started again.
+// The host's clock was set back before its daemon restarted, so the new run has
+// a lower incarnation than the known one.
 TEST_F(lease_registry_test, earlier_incarnation_is_told_the_known_one)
 {
     EXPECT_EQ(registry.known_incarnation("a"), 0U);
--- a/nutmegusher/membership/membership_property_test.cpp
+++ b/nutmegusher/membership/membership_property_test.cpp
@@ -1,6 +1,6 @@
-// Three control hosts and a few daemons with cuts, restarts, moves and deaths.
-// Whatever happened, once it is over every view is what the daemons last said;
-// meanwhile no view goes back to an older record.
+// Runs three control hosts and five daemons through random partitions,
+// restarts, moves and crashes. No view may ever replace a record by an older
+// one, and after the faults every view must match the daemons' last records.
 #include "nutmegusher/membership/membership.hpp"
 
 #include <gtest/gtest.h>
@@ -49,6 +49,8 @@
         }
     }
 
+    // Runs one action. `one` and `two` are random numbers that select the
+    // daemon, the control hosts, the service or the duration.
     void apply_action(unsigned action, std::size_t one, std::size_t two)
     {
         auto& daemon = daemons_[one % daemon_count];
@@ -84,7 +86,8 @@
         }
     }
 
-    // Faults are over: all daemons renew and all control hosts exchange.
+    // Ends all faults and runs 40 s in which all daemons sync and all control
+    // hosts exchange updates each second.
     void heal()
     {
         isolated_control_ = control_count;
@@ -106,7 +109,8 @@
         }
     }
 
-    // The oracle.
+    // Returns whether each live daemon's view holds exactly the last records of
+    // the live daemons.
     [[nodiscard]] bool views_match_daemons() const
     {
         for (const auto& reader : daemons_)
@@ -245,7 +249,8 @@
 
     time_point now_{std::chrono::hours(1)};
     std::uint64_t last_epoch_ = 0;
-    // A control host that is cut off from the others, or none.
+    // The control host that is partitioned from the others; `control_count` if
+    // none is.
     std::size_t isolated_control_ = control_count;
     std::vector<std::unique_ptr<lease_registry>> controls_;
     std::vector<daemon_state> daemons_;
--- a/nutmegusher/membership/registry_exchange_test.cpp
+++ b/nutmegusher/membership/registry_exchange_test.cpp
@@ -1,4 +1,4 @@
-// Several control hosts that tell each other what their daemons said.
+// Several control hosts that exchange the leases of their daemons.
 #include "nutmegusher/membership/membership.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
     return out;
 }
 
-// Fetches what `from` has for `to`.
+// Fetches the changes at `from` that `to` lacks, and applies them.
 void pull(
     lease_registry& to,
     const lease_registry& from,
@@ -73,10 +73,10 @@
     EXPECT_EQ(one.update(start, two.exchange(one_id)).leases_size(), 1);
 }
 
-// Two claims of nearly the same moment: the third control host takes the first
-// for the later one, and the first itself, which hears of the second over a
-// slower way, the second. When the first one ends its lease the daemon lives on
-// at the second, which says nothing new of it.
+// Two nearly simultaneous claims of a daemon: control host 3 sees the claim of
+// 1 as the later one, while 1, which receives the claim of 2 with a delay, sees
+// that of 2 as the later one. When 1 ends its lease the daemon still renews at
+// 2, which sends no further update for it, so 3 could lose a live daemon.
 TEST_F(registry_exchange_test, reordered_claims_do_not_lose_a_daemon)
 {
     using std::chrono::milliseconds;
@@ -100,11 +100,13 @@
     }
     two.expire(start + seconds(40));
     pull(three, two, two_id, start + seconds(40));
-    EXPECT_EQ(three.counts().upstreams, 0U) << "its last owner ended it";
+    EXPECT_EQ(three.counts().upstreams, 0U)
+        << "the lease remains after its last owner ended it";
 }
 
-// The daemon renews with both in the same moment and then with one alone: the
-// other one keeps its own lease, and isn't told anew when that runs out.
+// A daemon renews at two control hosts at the same moment and then at one of
+// them only. The other one keeps its own lease and receives no further update,
+// so when that lease expires it could lose a live daemon.
 TEST_F(registry_exchange_test, expired_lease_falls_back_to_the_other_owner)
 {
     two.renew(start, sync("a"));
@@ -153,7 +155,8 @@
     one.expire(start + seconds(1));
     pull(three, one, one_id, start + seconds(1));
     EXPECT_EQ(three.counts().upstreams, 1U);
-    // The new owner stays cut off from here, and the old one has no lease.
+    // Control host 3 stays partitioned from the new owner, and the lease of the
+    // previous owner has ended.
     one.expire(start + seconds(7));
     pull(three, one, one_id, start + seconds(7));
     EXPECT_EQ(three.counts().upstreams, 0U);
--- a/nutmegusher/membership/sync_schedule_test.cpp
+++ b/nutmegusher/membership/sync_schedule_test.cpp
@@ -50,9 +50,8 @@
     EXPECT_LE(schedule.plan(start).at, start);
 }
 
-// All control hosts start together with the daemon and have a leader after a
-// second; a daemon that backs off meanwhile serves nobody for longer than they
-// take.
+// All control hosts start together with the daemon and have a leader after 1 s.
+// A daemon that has backed off too far by then starts to serve too late.
 TEST_F(sync_schedule_test, reaches_hosts_soon_after_a_simultaneous_start)
 {
     using std::chrono::milliseconds;
@@ -109,8 +108,9 @@
     EXPECT_EQ(target(start), "far");
 }
 
-// Two near hosts lost their disks and take a second and a half to fail; by the
-// time that one has, the other's backoff is over.
+// Two near hosts with lost disks take 1.5 s to fail. When one has failed, the
+// backoff of the other is over, so by preference alone the two would be tried
+// in turns, and the healthy host behind them never.
 TEST_F(
     sync_schedule_test, slow_failures_of_near_hosts_do_not_starve_a_healthy_one)
 {
@@ -130,7 +130,8 @@
     {
         schedule.failed(start, random);
     }
-    // Half of the bound at least; the bound and the failover's spread at most.
+    // At least half of the maximum backoff, since the other half is jitter; at
+    // most the maximum and the failover jitter.
     const sync_schedule_options options;
     const auto wait = schedule.plan(start).at - start;
     EXPECT_GE(wait, options.max_backoff / 2);
@@ -193,9 +194,9 @@
     EXPECT_EQ(target(start), "new");
 }
 
-// It is time to go back to a nearer host while the one in use has gone silent:
-// the failure counted against the nearer one, the silent one was polled once
-// more, and asked again as another one beside its own poll.
+// A failback comes due while a sync with an unresponsive host is in flight.
+// Without `request_sent`, its failure counted against the nearer host, and the
+// unresponsive host was asked again and also picked as the alternate.
 TEST_F(sync_schedule_test, a_failure_counts_against_the_one_that_was_asked)
 {
     schedule.failed(start, random);
@@ -233,7 +234,7 @@
     schedule.switch_to(second->host, start, random);
     EXPECT_EQ(target(start), "far");
     EXPECT_EQ(schedule.plan(start).at, start);
-    // The one that was left is gone back to, not at once.
+    // The daemon fails back to the previous host, but not at once.
     EXPECT_EQ(target(start + std::chrono::milliseconds(100)), "far");
     EXPECT_NE(target(start + seconds(70)), "far");
 }
@@ -278,8 +279,8 @@
     }
 }
 
-// A data centre of 2,000 daemons comes back after an outage: how many of them
-// turn to its control host within one second.
+// Returns how many of 2,000 daemons fail back to the recovered control host of
+// their data centre in the busiest second.
 int max_failbacks_per_second(const sync_schedule_options& options)
 {
     random_engine random(1);
@@ -311,7 +312,7 @@
 TEST(sync_schedule, failback_to_a_recovered_data_center_is_spread)
 {
     EXPECT_LE(max_failbacks_per_second({}), 70);
-    // Without the spread nearly all come within one second.
+    // Without the jitter nearly all of them fail back within one second.
     EXPECT_GE(
         max_failbacks_per_second(
             {.failback_jitter = std::chrono::milliseconds(1)}),
