--- a/nutmegusher/membership/hedge_schedule_test.cpp
+++ b/nutmegusher/membership/hedge_schedule_test.cpp
@@ -55,14 +55,14 @@
     hedge_schedule hedges;
     auto now = start;
     hedges.advance_current_at(now);
-    int asked = 0;
+    int hedge_count = 0;
     while (now < start + seconds(60))
     {
         now = std::max(now + milliseconds(1), hedges.due());
         hedges.hedge_sent(now, random);
-        ++asked;
+        ++hedge_count;
     }
-    EXPECT_LT(asked, 60);
+    EXPECT_LT(hedge_count, 60);
     hedges.advance_current_at(now);
     hedges.hedge_sent(now + seconds(2), random);
     EXPECT_LE(hedges.due(), now + seconds(2) + milliseconds(250));
--- a/nutmegusher/membership/lease_registry_test.cpp
+++ b/nutmegusher/membership/lease_registry_test.cpp
@@ -13,7 +13,7 @@
 
 const time_point start(hours(1));
 
-messages::sync_request sync(
+messages::sync_request make_sync(
     const std::string& host,
     const std::string& service,
     std::uint64_t incarnation = 1,
@@ -48,7 +48,7 @@
         return out;
     }
 
-    messages::sync_reply next()
+    messages::sync_reply next_reply()
     {
         const auto request = next_request();
         last.Clear();
@@ -59,7 +59,7 @@
     void settle()
     {
         registry.expire(start + seconds(6));
-        next();
+        next_reply();
     }
 
     lease_registry registry{host_id("c1"), 77, start};
@@ -69,14 +69,14 @@
 TEST_F(lease_registry_test, answers_only_what_changed_for_the_service)
 {
     settle();
-    registry.renew(start + seconds(6), sync("a", "balances"));
-    next();
-    registry.renew(start + seconds(8), sync("a", "balances"));
-    registry.renew(start + seconds(6), sync("x", "statements"));
+    registry.renew(start + seconds(6), make_sync("a", "balances"));
+    next_reply();
+    registry.renew(start + seconds(8), make_sync("a", "balances"));
+    registry.renew(start + seconds(6), make_sync("x", "statements"));
     EXPECT_FALSE(registry.has_news(next_request()));
-    registry.renew(start + seconds(6), sync("b", "balances"));
+    registry.renew(start + seconds(6), make_sync("b", "balances"));
     EXPECT_TRUE(registry.has_news(next_request()));
-    const auto reply = next();
+    const auto reply = next_reply();
     ASSERT_EQ(reply.upstreams_size(), 1);
     EXPECT_EQ(reply.upstreams(0).host(), "b");
     EXPECT_FALSE(reply.upstreams_complete());
@@ -85,24 +85,24 @@
 
 TEST_F(lease_registry_test, first_answer_is_complete_once_settled)
 {
-    EXPECT_FALSE(next().upstreams_complete());
+    EXPECT_FALSE(next_reply().upstreams_complete());
     settle();
     EXPECT_TRUE(last.upstreams_complete());
-    registry.renew(start + seconds(6), sync("a", "balances"));
+    registry.renew(start + seconds(6), make_sync("a", "balances"));
     last.set_registry_epoch(5);
-    EXPECT_TRUE(next().upstreams_complete());
+    EXPECT_TRUE(next_reply().upstreams_complete());
 }
 
 TEST_F(lease_registry_test, lease_ends_after_the_missed_renewals)
 {
     settle();
     const auto at = start + seconds(10);
-    registry.renew(at, sync("a", "balances"));
-    next();
+    registry.renew(at, make_sync("a", "balances"));
+    next_reply();
     registry.expire(at + seconds(5));
     EXPECT_FALSE(registry.has_news(next_request()));
     registry.expire(at + seconds(6));
-    const auto reply = next();
+    const auto reply = next_reply();
     ASSERT_EQ(reply.lost_hosts_size(), 1);
     EXPECT_EQ(reply.lost_hosts(0), "a");
     EXPECT_EQ(registry.counts().leases, 0U);
@@ -111,14 +111,14 @@
 TEST_F(lease_registry_test, higher_incarnation_wins_over_a_higher_version)
 {
     settle();
-    registry.renew(start, sync("a", "balances", 1, 90));
+    registry.renew(start, make_sync("a", "balances", 1, 90));
     EXPECT_EQ(
-        registry.renew(start, sync("a", "balances", 2, 1)),
+        registry.renew(start, make_sync("a", "balances", 2, 1)),
         renewal_result::accepted);
     EXPECT_EQ(
-        registry.renew(start, sync("a", "balances", 1, 91)),
+        registry.renew(start, make_sync("a", "balances", 1, 91)),
         renewal_result::stale_incarnation);
-    const auto reply = next();
+    const auto reply = next_reply();
     ASSERT_EQ(reply.upstreams_size(), 1);
     EXPECT_EQ(reply.upstreams(0).incarnation(), 2U);
 }
@@ -128,37 +128,37 @@
     upstream_that_withdraws_or_moves_is_lost_to_the_service)
 {
     settle();
-    registry.renew(start, sync("a", "balances"));
-    registry.renew(start, sync("b", "balances"));
-    next();
-    registry.renew(start, sync("a", ""));
-    registry.renew(start, sync("b", "statements", 1, 2));
-    EXPECT_EQ(next().lost_hosts_size(), 2);
+    registry.renew(start, make_sync("a", "balances"));
+    registry.renew(start, make_sync("b", "balances"));
+    next_reply();
+    registry.renew(start, make_sync("a", ""));
+    registry.renew(start, make_sync("b", "statements", 1, 2));
+    EXPECT_EQ(next_reply().lost_hosts_size(), 2);
 }
 
 TEST_F(
     lease_registry_test, reader_older_than_the_tombstones_gets_a_complete_list)
 {
     settle();
-    registry.renew(start, sync("a", "balances"));
-    next();
+    registry.renew(start, make_sync("a", "balances"));
+    next_reply();
     registry.expire(start + seconds(10));
     registry.expire(start + minutes(30));
     registry.expire(start + minutes(60));
-    const auto reply = next();
+    const auto reply = next_reply();
     EXPECT_TRUE(reply.upstreams_complete());
     EXPECT_EQ(reply.upstreams_size(), 0);
 }
 
 TEST_F(lease_registry_test, counts_follow_every_change)
 {
-    registry.renew(start, sync("a", "balances"));
-    registry.renew(start, sync("b", "balances"));
-    registry.renew(start, sync("c", ""));
+    registry.renew(start, make_sync("a", "balances"));
+    registry.renew(start, make_sync("b", "balances"));
+    registry.renew(start, make_sync("c", ""));
     EXPECT_EQ(registry.counts().owned, 3U);
     EXPECT_EQ(registry.counts().upstreams, 2U);
-    registry.renew(start + seconds(3), sync("a", "statements", 1, 2));
-    registry.renew(start + seconds(3), sync("c", "statements", 1, 1));
+    registry.renew(start + seconds(3), make_sync("a", "statements", 1, 2));
+    registry.renew(start + seconds(3), make_sync("c", "statements", 1, 1));
     EXPECT_EQ(registry.counts().upstreams, 3U);
     registry.expire(start + seconds(6));
     EXPECT_EQ(registry.counts().leases, 2U);
@@ -173,7 +173,7 @@
 {
     for (int number = 0; number < 40; ++number)
     {
-        auto request = sync("d" + std::to_string(number), "balances");
+        auto request = make_sync("d" + std::to_string(number), "balances");
         request.set_configuration_revision(number < 3 ? 6 : 7);
         registry.renew(start, request);
     }
@@ -206,13 +206,13 @@
 TEST_F(lease_registry_test, earlier_incarnation_is_told_the_known_one)
 {
     EXPECT_EQ(registry.known_incarnation("a"), 0U);
-    registry.renew(start, sync("a", "balances", 9));
+    registry.renew(start, make_sync("a", "balances", 9));
     EXPECT_EQ(
-        registry.renew(start + seconds(1), sync("a", "balances", 5)),
+        registry.renew(start + seconds(1), make_sync("a", "balances", 5)),
         renewal_result::stale_incarnation);
     EXPECT_EQ(registry.known_incarnation("a"), 9U);
     EXPECT_EQ(
-        registry.renew(start + seconds(1), sync("a", "balances", 10)),
+        registry.renew(start + seconds(1), make_sync("a", "balances", 10)),
         renewal_result::accepted);
 }
 
--- a/nutmegusher/membership/registry_exchange_test.cpp
+++ b/nutmegusher/membership/registry_exchange_test.cpp
@@ -14,7 +14,7 @@
 
 const time_point start(hours(1));
 
-messages::sync_request sync(const std::string& host)
+messages::sync_request make_sync(const std::string& host)
 {
     messages::sync_request out;
     out.set_host(host);
@@ -53,7 +53,7 @@
     registry_exchange_test,
     lease_is_known_at_the_others_until_its_owner_ends_it)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     pull(two, one, one_id, start);
     EXPECT_EQ(two.counts().upstreams, 1U);
     two.expire(start + minutes(5));
@@ -65,11 +65,11 @@
 
 TEST_F(registry_exchange_test, only_changes_are_exchanged)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     pull(two, one, one_id, start);
-    one.renew(start + seconds(2), sync("a"));
+    one.renew(start + seconds(2), make_sync("a"));
     EXPECT_EQ(one.update(start, two.exchange(one_id)).leases_size(), 0);
-    one.renew(start + seconds(2), sync("b"));
+    one.renew(start + seconds(2), make_sync("b"));
     EXPECT_EQ(one.update(start, two.exchange(one_id)).leases_size(), 1);
 }
 
@@ -81,8 +81,8 @@
 {
     using std::chrono::milliseconds;
     const auto renewed = start + milliseconds(10);
-    two.renew(start, sync("a"));
-    one.renew(renewed, sync("a"));
+    two.renew(start, make_sync("a"));
+    one.renew(renewed, make_sync("a"));
     pull(three, one, one_id, renewed);
     pull(three, two, two_id, renewed);
     const auto delayed_update = two.update(renewed, one.exchange(two_id));
@@ -90,7 +90,7 @@
     for (int second = 1; second < 20; ++second)
     {
         const auto now = start + seconds(second);
-        two.renew(now, sync("a"));
+        two.renew(now, make_sync("a"));
         one.expire(now);
         pull(one, two, two_id, now);
         pull(three, one, one_id, now);
@@ -109,13 +109,13 @@
 // so when that lease expires it could lose a live daemon.
 TEST_F(registry_exchange_test, expired_lease_falls_back_to_the_other_owner)
 {
-    two.renew(start, sync("a"));
-    one.renew(start, sync("a"));
+    two.renew(start, make_sync("a"));
+    one.renew(start, make_sync("a"));
     pull(two, one, one_id, start);
     for (int second = 1; second < 20; ++second)
     {
         const auto now = start + seconds(second);
-        one.renew(now, sync("a"));
+        one.renew(now, make_sync("a"));
         two.expire(now);
         pull(two, one, one_id, now);
         ASSERT_EQ(two.counts().upstreams, 1U) << second;
@@ -127,13 +127,13 @@
 
 TEST_F(registry_exchange_test, daemon_that_moves_is_never_lost)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     pull(two, one, one_id, start);
     pull(three, one, one_id, start);
     for (int second = 1; second < 30; ++second)
     {
         const auto now = start + seconds(second);
-        two.renew(now, sync("a"));
+        two.renew(now, make_sync("a"));
         pull(one, two, two_id, now);
         pull(three, one, one_id, now);
         pull(three, two, two_id, now);
@@ -148,9 +148,9 @@
 
 TEST_F(registry_exchange_test, previous_owner_delays_the_end_of_a_moved_lease)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     pull(three, one, one_id, start);
-    two.renew(start + seconds(1), sync("a"));
+    two.renew(start + seconds(1), make_sync("a"));
     pull(one, two, two_id, start + seconds(1));
     one.expire(start + seconds(1));
     pull(three, one, one_id, start + seconds(1));
@@ -162,29 +162,30 @@
     EXPECT_EQ(three.counts().upstreams, 0U);
 }
 
-TEST_F(registry_exchange_test, daemon_that_goes_back_and_forth_stays)
+TEST_F(
+    registry_exchange_test, daemon_that_alternates_between_owners_is_not_lost)
 {
-    one.renew(start, sync("a"));
-    two.renew(start + seconds(1), sync("a"));
-    one.renew(start + seconds(2), sync("a"));
+    one.renew(start, make_sync("a"));
+    two.renew(start + seconds(1), make_sync("a"));
+    one.renew(start + seconds(2), make_sync("a"));
     pull(three, one, one_id, start + seconds(2));
     pull(three, two, two_id, start + seconds(2));
     two.expire(start + seconds(7));
-    one.renew(start + seconds(7), sync("a"));
+    one.renew(start + seconds(7), make_sync("a"));
     pull(one, two, two_id, start + seconds(7));
     pull(three, two, two_id, start + seconds(7));
     pull(three, one, one_id, start + seconds(7));
     EXPECT_EQ(three.counts().upstreams, 1U);
 }
 
-TEST_F(registry_exchange_test, rollout_of_all_is_known_at_each)
+TEST_F(registry_exchange_test, rollout_includes_daemons_of_other_control_hosts)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     pull(two, one, one_id, start);
-    auto newer_revision = sync("a");
+    auto newer_revision = make_sync("a");
     newer_revision.set_configuration_revision(8);
     one.renew(start + seconds(1), newer_revision);
-    two.renew(start + seconds(1), sync("b"));
+    two.renew(start + seconds(1), make_sync("b"));
     pull(two, one, one_id, start + seconds(1));
     EXPECT_EQ(two.rollout().daemons(), 2U);
     EXPECT_EQ(two.rollout().daemons_at(revision(8)), 1U);
@@ -192,37 +193,37 @@
 
 TEST_F(registry_exchange_test, leases_of_a_silent_control_host_last_for_hours)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     pull(two, one, one_id, start);
     two.expire(start + hours(1));
     EXPECT_EQ(two.counts().upstreams, 1U);
     two.expire(start + hours(3));
     EXPECT_EQ(two.counts().upstreams, 0U);
-    one.renew(start + hours(3), sync("a"));
+    one.renew(start + hours(3), make_sync("a"));
     pull(two, one, one_id, start + hours(3));
     EXPECT_EQ(two.counts().upstreams, 1U);
 }
 
 TEST_F(registry_exchange_test, removed_control_host_leaves_time_for_one_renewal)
 {
-    one.renew(start, sync("a"));
-    one.renew(start, sync("b"));
+    one.renew(start, make_sync("a"));
+    one.renew(start, make_sync("b"));
     pull(two, one, one_id, start);
     two.remove_owner(start + seconds(1), one_id);
-    two.renew(start + seconds(5), sync("b"));
+    two.renew(start + seconds(5), make_sync("b"));
     two.expire(start + seconds(7));
     EXPECT_EQ(two.counts().upstreams, 1U);
 }
 
 TEST_F(registry_exchange_test, restarted_control_host_does_not_empty_the_others)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     pull(two, one, one_id, start);
     lease_registry restarted(one_id, 11, start + seconds(10), options);
     pull(two, restarted, one_id, start + seconds(10));
     two.expire(start + seconds(15));
     EXPECT_EQ(two.counts().upstreams, 1U);
-    restarted.renew(start + seconds(15), sync("a"));
+    restarted.renew(start + seconds(15), make_sync("a"));
     pull(two, restarted, one_id, start + seconds(15));
     two.expire(start + minutes(5));
     EXPECT_EQ(two.counts().upstreams, 1U);
@@ -230,7 +231,7 @@
 
 TEST_F(registry_exchange_test, restarted_control_host_sends_incomplete_lists)
 {
-    one.renew(start, sync("a"));
+    one.renew(start, make_sync("a"));
     messages::sync_request request;
     request.add_services("balances");
 
@@ -239,7 +240,7 @@
     two.answer(request, unsettled_reply);
     EXPECT_FALSE(unsettled_reply.upstreams_complete());
 
-    one.renew(start + seconds(11), sync("a"));
+    one.renew(start + seconds(11), make_sync("a"));
     pull(two, one, one_id, start + seconds(11));
     pull(two, three, three_id, start + seconds(11));
     two.expire(start + seconds(11));
--- a/nutmegusher/membership/subset.cpp
+++ b/nutmegusher/membership/subset.cpp
@@ -16,27 +16,28 @@
     other_region
 };
 
-struct ranked
+struct ranked_candidate
 {
-    distance away;
+    distance distance_class;
     std::uint64_t score;
     std::string_view host;
     std::size_t position;
 
-    friend bool operator<(const ranked& one, const ranked& other)
+    friend bool
+    operator<(const ranked_candidate& one, const ranked_candidate& other)
     {
-        return std::tuple(one.away, one.score, one.host) <
-               std::tuple(other.away, other.score, other.host);
+        return std::tuple(one.distance_class, one.score, one.host) <
+               std::tuple(other.distance_class, other.score, other.host);
     }
 };
 
-distance distance_between(const locality& own_locality, const locality& there)
+distance distance_between(const locality& own_locality, const locality& other)
 {
-    if (own_locality == there)
+    if (own_locality == other)
     {
         return distance::same_data_center;
     }
-    return own_locality.region == there.region ? distance::same_region
+    return own_locality.region == other.region ? distance::same_region
                                                : distance::other_region;
 }
 
@@ -49,7 +50,7 @@
     const subset_options& options)
 {
     const auto seed = stable_hash(self.str());
-    std::vector<ranked> all;
+    std::vector<ranked_candidate> all;
     all.reserve(candidates.size());
     for (std::size_t position = 0; position < candidates.size(); ++position)
     {
@@ -65,9 +66,9 @@
     const auto near = static_cast<std::size_t>(std::count_if(
         all.begin(),
         all.end(),
-        [](const ranked& one)
+        [](const ranked_candidate& one)
         {
-            return one.away == distance::same_data_center;
+            return one.distance_class == distance::same_data_center;
         }));
     const auto far = all.size() - near;
     const auto max_near =
--- a/nutmegusher/membership/subset_test.cpp
+++ b/nutmegusher/membership/subset_test.cpp
@@ -24,7 +24,7 @@
     locality at;
 };
 
-std::vector<located_host> service(int near, int same_region, int far)
+std::vector<located_host> service_hosts(int near, int same_region, int far)
 {
     std::vector<located_host> out;
     const auto add = [&out](int count, const char* prefix, const locality& at)
@@ -73,7 +73,7 @@
 
 TEST(choose_subset, takes_all_of_a_small_service_near_ones_first)
 {
-    const auto hosts = chosen("d", service(2, 2, 1));
+    const auto hosts = chosen("d", service_hosts(2, 2, 1));
     ASSERT_EQ(hosts.size(), 5U);
     EXPECT_EQ(hosts[0].front(), 'n');
     EXPECT_EQ(hosts[1].front(), 'n');
@@ -82,7 +82,7 @@
 
 TEST(choose_subset, keeps_some_outside_the_own_data_center)
 {
-    const auto hosts = chosen("d", service(100, 100, 100));
+    const auto hosts = chosen("d", service_hosts(100, 100, 100));
     EXPECT_EQ(hosts.size(), 20U);
     EXPECT_EQ(count_of(hosts, 'n'), 15);
     EXPECT_EQ(count_of(hosts, 'r'), 5);
@@ -90,7 +90,7 @@
 
 TEST(choose_subset, fills_up_from_farther_away)
 {
-    const auto hosts = chosen("d", service(3, 4, 100));
+    const auto hosts = chosen("d", service_hosts(3, 4, 100));
     EXPECT_EQ(count_of(hosts, 'n'), 3);
     EXPECT_EQ(count_of(hosts, 'r'), 4);
     EXPECT_EQ(count_of(hosts, 'f'), 13);
@@ -103,8 +103,8 @@
     std::map<std::string, int> users;
     for (int daemon = 0; daemon < daemons; ++daemon)
     {
-        for (const auto& host :
-             chosen("d" + std::to_string(daemon), service(upstreams, 0, 0)))
+        for (const auto& host : chosen(
+                 "d" + std::to_string(daemon), service_hosts(upstreams, 0, 0)))
         {
             ++users[host];
         }
@@ -121,7 +121,7 @@
 
 RC_GTEST_PROP(choose_subset_property, one_change_moves_at_most_two, ())
 {
-    auto hosts = service(
+    auto hosts = service_hosts(
         *rc::gen::inRange(0, 40),
         *rc::gen::inRange(0, 40),
         *rc::gen::inRange(1, 40));
--- a/nutmegusher/membership/sync_schedule_test.cpp
+++ b/nutmegusher/membership/sync_schedule_test.cpp
@@ -75,7 +75,7 @@
     EXPECT_LT(longest, milliseconds(300));
 }
 
-TEST_F(sync_schedule_test, backs_off_once_it_has_been_served)
+TEST_F(sync_schedule_test, backs_off_after_the_first_success)
 {
     schedule.succeeded(start, random);
     auto now = start;
@@ -197,7 +197,7 @@
 // A failback comes due while a sync with an unresponsive host is in flight.
 // Without `request_sent`, its failure counted against the nearer host, and the
 // unresponsive host was asked again and also picked as the alternate.
-TEST_F(sync_schedule_test, a_failure_counts_against_the_one_that_was_asked)
+TEST_F(sync_schedule_test, failure_counts_against_the_host_that_was_asked)
 {
     schedule.failed(start, random);
     schedule.succeeded(start, random);
