--- a/nutmegusher/membership/hedge_schedule.hpp
+++ b/nutmegusher/membership/hedge_schedule.hpp
@@ -33,7 +33,7 @@
 // newer configuration. Waiting for the sync to time out takes 2.5 s, by which
 // time the newer configuration should already be in force.
 //
-//     hedge_schedule hedges(start);
+//     hedge_schedule hedges;
 //     hedges.request_sent(now);               // to the planned control host
 //     hedges.advance_current_at(current_at);  // from any reply
 //     if (now >= hedges.due()) ...            // ask an alternate, then:
@@ -47,7 +47,7 @@
     void request_sent(time_point now);
 
     // Records that the daemon's configuration contains every change accepted
-    // until `current_at`. Earlier times than the known one are ignored.
+    // up to `current_at`. Earlier times than the known one are ignored.
     void advance_current_at(time_point current_at);
 
     // Records that an alternate control host was asked, and backs off.
--- a/nutmegusher/membership/lease_registry.hpp
+++ b/nutmegusher/membership/lease_registry.hpp
@@ -84,7 +84,7 @@
 //     registry.apply(now, other, update);   // from another control host
 //     registry.expire(now);                 // about once a second
 //
-// For one thread.
+// Not thread-safe.
 class lease_registry
 {
 public:
@@ -129,7 +129,7 @@
         const messages::registry_update& update);
 
     // Handles the removal of a control host: the leases that it owned expire
-    // unless another control host renews them.
+    // unless the daemons renew them at another control host.
     void remove_owner(time_point now, const host_id& owner);
 
     // Counts the daemons of all control hosts by the revision that they run.
@@ -199,6 +199,8 @@
     // Ends the owner's lease: makes the fallback owner the owner, or removes
     // the entry if there is none.
     entry_map::iterator end_lease(entry_map::iterator at, time_point now);
+    // Sets `settled_stamp_` once the registry holds enough leases to report
+    // missing upstreams.
     void settle(time_point now);
     void end_expired_leases(time_point now);
     void set_expiry(lease_entry& value, time_point at);
@@ -207,6 +209,7 @@
     needs_complete_list(const messages::sync_request& request) const;
     [[nodiscard]] messages::owned_lease
     lease_message(std::string_view host, time_point now) const;
+    // Counts the daemons whose leases this control host owns.
     [[nodiscard]] messages::rollout_summary own_rollout() const;
     [[nodiscard]] const messages::rollout_summary&
     cached_own_rollout(time_point now) const;
@@ -216,8 +219,9 @@
     lease_options options_;
     time_point started_at_;
     std::uint64_t stamp_ = 0;
-    // The stamp from which on missing upstreams are reported as removed; 0
-    // until the registry has settled.
+    // The stamp from which on missing upstreams are reported as removed;
+    // readers with an older one get a complete list. 0 until the registry has
+    // settled.
     std::uint64_t settled_stamp_ = 0;
     entry_map entries_;
     std::unordered_map<std::string, internal::change_index> services_;
--- a/nutmegusher/membership/subset_test.cpp
+++ b/nutmegusher/membership/subset_test.cpp
@@ -109,7 +109,8 @@
             ++users[host];
         }
     }
-    // The mean is 80; 5 standard deviations of the binomial distribution are 40.
+    // The mean is 80; 5 standard deviations of the binomial distribution
+    // are 40.
     EXPECT_EQ(users.size(), static_cast<std::size_t>(upstreams));
     for (const auto& [host, count] : users)
     {
--- a/nutmegusher/membership/sync_schedule.hpp
+++ b/nutmegusher/membership/sync_schedule.hpp
@@ -77,7 +77,7 @@
 //     schedule.request_sent(now);
 //     schedule.succeeded(now, random);        // or failed(now, random)
 //
-// For one thread.
+// Not thread-safe.
 class sync_schedule
 {
 public:
--- a/nutmegusher/membership/upstream_view.hpp
+++ b/nutmegusher/membership/upstream_view.hpp
@@ -62,7 +62,7 @@
 //     notify(view, view.apply(reply), pool);
 //     for (const auto* record : view.subset(service_name("balances"))) ...
 //
-// For one thread.
+// Not thread-safe.
 class upstream_view
 {
 public:
