--- a/nutmegusher/membership/sync_schedule_test.cpp
+++ b/nutmegusher/membership/sync_schedule_test.cpp
@@ -97,7 +97,7 @@
     schedule.succeeded(start, random);
 }
 
-TEST_F(sync_schedule_test, fails_over_to_the_next_near_one_within_the_spread)
+TEST_F(sync_schedule_test, fails_over_to_the_next_near_one_within_the_jitter)
 {
     schedule.failed(start, random);
     EXPECT_EQ(target(start), "region");
