--- a/nutmegusher/execution/attempt_sequence.hpp
+++ b/nutmegusher/execution/attempt_sequence.hpp
@@ -1,4 +1,4 @@
-// Numbers for the attempts of one entry daemon.
+// Sequence numbers for the attempts that one entry daemon issues.
 #ifndef NUTMEGUSHER_EXECUTION_ATTEMPT_SEQUENCE_HPP
 #define NUTMEGUSHER_EXECUTION_ATTEMPT_SEQUENCE_HPP
 
@@ -8,29 +8,30 @@
 namespace nutmegusher
 {
 
-// Gives every attempt a number that rises, also across restarts, and that
-// tells when it was given: the claim table refuses attempts which are older
-// than its memory of fences.
+// Generates sequence numbers for attempts. The numbers increase strictly, also
+// across a restart if the wall clock has advanced meanwhile. Each number
+// encodes its time of issue: the claim table refuses attempts that are older
+// than the lifetime of its fences.
 //
 //     attempt_sequence sequence;
 //     attempt.set_sequence(sequence.next(wall_ms));
 //
-// For one thread.
+// Not thread-safe.
 class attempt_sequence
 {
 public:
-    // The low bits count within a millisecond.
+    // Number of low bits that count attempts within one millisecond.
     static constexpr unsigned counter_bits = 20;
 
-    // `wall_ms`: the host's wall time in ms since 1970. Where it stands still
-    // or goes back, the numbers rise all the same.
+    // Returns the next number. `wall_ms` is the host's wall time in ms since
+    // 1970. The numbers increase even if `wall_ms` repeats or goes back.
     std::uint64_t next(std::uint64_t wall_ms)
     {
         last_ = std::max(last_ + 1, wall_ms << counter_bits);
         return last_;
     }
 
-    // The wall time at which a number was given, in ms.
+    // Returns the wall time at which `sequence` was issued, in ms since 1970.
     [[nodiscard]] static constexpr std::uint64_t
     issued_at_ms(std::uint64_t sequence)
     {
--- a/nutmegusher/execution/claim_encoding.hpp
+++ b/nutmegusher/execution/claim_encoding.hpp
@@ -1,4 +1,4 @@
-// How the claim table stores keys and compares attempts.
+// Key encoding, fingerprints and comparisons for the claim table.
 #ifndef NUTMEGUSHER_EXECUTION_CLAIM_ENCODING_HPP
 #define NUTMEGUSHER_EXECUTION_CLAIM_ENCODING_HPP
 
@@ -16,8 +16,9 @@
 inline constexpr std::uint64_t varint_group_mask =
     (1U << varint_group_bits) - 1;
 
-// Appends a number, low digits first; the high bit of a byte says that more
-// follow. Short numbers stay short, the same on every host.
+// Appends a variable-length integer: 7 bits per byte, least significant group
+// first; the high bit of a byte says that more bytes follow. The encoding is
+// the same on every host.
 inline void append_varint(std::string& out, std::uint64_t value)
 {
     while (value > varint_group_mask)
@@ -29,7 +30,7 @@
     out.push_back(static_cast<char>(value));
 }
 
-// Takes from the front what `append_varint` wrote.
+// Reads an integer that `append_varint` wrote and removes it from the front.
 inline std::uint64_t read_varint(std::string_view& bytes)
 {
     std::uint64_t value = 0;
@@ -46,13 +47,16 @@
     return value;
 }
 
-// A part's length goes first, so that no two lists of parts encode alike.
+// Appends the length, then the bytes. The length makes the encoding of a list
+// of strings unambiguous.
 inline void append_length_prefixed(std::string& out, std::string_view part)
 {
     append_varint(out, part.size());
     out.append(part);
 }
 
+// Reads a string that `append_length_prefixed` wrote and removes it from the
+// front.
 inline std::string read_length_prefixed(std::string_view& bytes)
 {
     const auto size = read_varint(bytes);
@@ -86,6 +90,7 @@
     append_varint(out, by.sequence());
 }
 
+// Returns a 64-bit hash of the key and the attempt.
 inline std::uint64_t
 fingerprint(const std::string& key, const messages::attempt& by)
 {
@@ -94,8 +99,9 @@
     return stable_hash(bytes);
 }
 
-// What a record costs besides key and answer: two allocations, the map's node
-// and bucket, the queue's slot. bench/capacity measures the true figure.
+// Estimated memory of a record besides its key and answer: two allocations, the
+// node and bucket of the map, and the slot in the queue. bench/capacity
+// measures the actual figure.
 inline constexpr std::uint64_t record_overhead_bytes = 200;
 
 inline std::uint64_t estimated_record_bytes(const std::string& key)
--- a/nutmegusher/execution/claim_table.cpp
+++ b/nutmegusher/execution/claim_table.cpp
@@ -109,7 +109,8 @@
     return refuse_start(key, command);
 }
 
-// No record of the key: the attempt may have it, unless it was given up.
+// Handles a start for a key that has no record. The claim is granted unless the
+// attempt is fenced or expired, or the table is full.
 messages::claim_result claim_table::grant_start(
     const std::string& key, const messages::claim_command& command)
 {
@@ -133,8 +134,9 @@
     return verdict(messages::claim_granted);
 }
 
-// Another attempt has the key. The refused one is fenced, so that a second copy
-// of its start can't be granted after the key became free: nobody would run it.
+// Handles a start for a key that another attempt holds or has finished. The
+// refused attempt is fenced, so that a duplicate of its start can't be granted
+// once the key is free again: no executor would run that call.
 messages::claim_result claim_table::refuse_start(
     const std::string& key, const messages::claim_command& command)
 {
@@ -191,8 +193,9 @@
     strip_answers();
 }
 
-// The operator knows what became of the call. Only the holder that was seen is
-// settled: the key may have moved on since.
+// Handles an operator's decision about a call whose outcome the operator knows.
+// It applies only to the holder that the command names, because another attempt
+// may hold the key by now.
 messages::claim_result claim_table::resolve(
     const std::string& key, const messages::claim_command& command)
 {
@@ -216,8 +219,9 @@
     return verdict(messages::claim_granted);
 }
 
-// Sent by an execution that never started and never will. Without a record its
-// start wasn't applied yet, or was released already: the fence ends it.
+// Handles a release by an execution that has not started and never will. If the
+// key has no record, the start was not applied yet or was released already; the
+// fence makes sure that it is never granted later.
 messages::claim_result claim_table::release(
     const std::string& key, const messages::claim_command& command)
 {
--- a/nutmegusher/execution/claim_table_retention.cpp
+++ b/nutmegusher/execution/claim_table_retention.cpp
@@ -1,4 +1,5 @@
-// What a claim table keeps and forgets: time, retention, memory, fences.
+// The part of the claim table that handles log time, retention, size limits and
+// fences.
 #include "nutmegusher/execution/attempt_sequence.hpp"
 #include "nutmegusher/execution/claim_encoding.hpp"
 #include "nutmegusher/execution/claim_table.hpp"
@@ -14,7 +15,8 @@
 using internal::estimated_record_bytes;
 using internal::fingerprint;
 
-// What is kept of an answer when memory is short.
+// Returns the serialized answer without headers and body; a digest and the size
+// of the body remain.
 std::string without_body(const std::string& bytes)
 {
     messages::stored_answer answer;
@@ -81,8 +83,9 @@
     }
 }
 
-// Retention counts from the latest time that anyone names: the log time lags
-// after a quiet spell, and catching up must not end the retention early.
+// Returns the time from which the retention of a finished key counts: the
+// latest of all known times. After an idle period the log time lags behind, and
+// its catching up must not end the retention early.
 std::uint64_t
 claim_table::finish_time(const messages::claim_command& command) const
 {
@@ -94,7 +97,6 @@
         {log_time_ms_, command.proposed_at_ms(), issued_at_ms, previous});
 }
 
-// False where there are too many fences to remember one more.
 bool claim_table::add_fence(const std::string& key, const messages::attempt& by)
 {
     const auto attempt_fingerprint = fingerprint(key, by);
@@ -106,8 +108,9 @@
     {
         return false;
     }
-    // Not before the attempt was issued, by whatever clock: until the fence is
-    // forgotten the attempt has expired.
+    // A fence is never dated before its attempt was issued, even if the clock
+    // of the issuer is ahead. The attempt has thus expired by the time its
+    // fence is removed.
     const auto issued_at_ms = attempt_sequence::issued_at_ms(by.sequence());
     const auto previous = fences_.empty() ? 0 : fences_.back().fenced_at_ms;
     const auto fenced_at_ms = std::max({log_time_ms_, issued_at_ms, previous});
--- a/nutmegusher/execution/claim_table_test.cpp
+++ b/nutmegusher/execution/claim_table_test.cpp
@@ -19,7 +19,7 @@
     return key;
 }
 
-// Attempt `number`, issued so many ms after the start.
+// Returns attempt `number`, issued `issued_after_ms` after `start_ms`.
 messages::attempt attempt_of(unsigned number, std::uint64_t issued_after_ms = 0)
 {
     messages::attempt by;
--- a/nutmegusher/execution/execution.hpp
+++ b/nutmegusher/execution/execution.hpp
@@ -1,14 +1,15 @@
-// At-most-once execution, and what belongs to one running request.
+// At-most-once execution, and the state of running requests.
 //
-// - `claim_table` is the replicated record of who may run a call that may not
-//   be repeated, and of its first outcome.
-// - `execution_guard` is the executor's side of one such call: when it may be
-//   started and what its caller may be told.
+// - `claim_table` is the replicated record of which execution may run a
+//   non-repeatable call, and of the call's first outcome.
+// - `execution_guard` is the executor's side of one such call: it decides when
+//   the call may start and which outcome is reported to the caller.
 // - `request_ledger` holds what the requests that run at an upstream share with
-//   their sub-calls: rank, deadline and the conserved retry tokens.
-// - `attempt_sequence` and `request_digest` name an attempt and its content.
+//   their sub-calls: rank, deadline and retry tokens.
+// - `attempt_sequence` numbers attempts; `request_digest` identifies the
+//   content of a request.
 //
-// Everything but the ledger is a pure state machine for one thread.
+// All but the ledger are pure state machines and not thread-safe.
 #ifndef NUTMEGUSHER_EXECUTION_EXECUTION_HPP
 #define NUTMEGUSHER_EXECUTION_EXECUTION_HPP
 
--- a/nutmegusher/execution/execution_guard.cpp
+++ b/nutmegusher/execution/execution_guard.cpp
@@ -18,15 +18,16 @@
     return {call_outcome::unknown, reason, std::nullopt};
 }
 
-// Two copies of an attempt in one process must not pass for one another.
+// Returns an id that distinguishes the executions of one process, so that two
+// copies of an attempt can't share a claim.
 std::uint64_t next_execution_id()
 {
     static std::atomic<std::uint64_t> last = 0;
     return ++last;
 }
 
-// By a verdict that says the attempt doesn't hold the claim and never will, or
-// that nothing is known.
+// Returns the outcome for a verdict which says that the attempt doesn't hold
+// the claim and never will, or that nothing is known about it.
 reported_outcome outcome_of_refusal(const messages::claim_result& result)
 {
     switch (result.verdict())
@@ -124,7 +125,7 @@
     }
     if (granted_)
     {
-        // A verdict on a second copy of the start; the first one counts.
+        // This verdict is for a duplicate of the start; the grant stands.
         return {};
     }
     return end(outcome_of_refusal(result));
@@ -135,7 +136,7 @@
     granted_ = true;
     if (state_ == guard_state::releasing)
     {
-        // The release is on its way.
+        // A release was proposed already.
         return {};
     }
     if (now >= request_.deadline)
@@ -189,8 +190,8 @@
     state_ = guard_state::finishing;
     answer_ = answer;
     auto step = propose_finish(wall_ms);
-    // The answer is the outcome whether or not it gets recorded: if it doesn't,
-    // the claim stays as running and nobody else starts.
+    // The answer is reported before it is recorded. If recording fails, the
+    // claim stays in progress, so no other execution can start.
     report(step, {call_outcome::completed, outcome_reason::none, std::nullopt});
     return step;
 }
@@ -227,15 +228,15 @@
     case messages::claim_unavailable:
         return retry_release(now, wall_ms);
     default:
-        // Another copy of the attempt holds the claim.
+        // Another execution of the attempt holds the claim.
         return end(
             granted_ ? not_run(release_reason_)
                      : unknown(outcome_reason::in_progress));
     }
 }
 
-// Resent until it is confirmed, so that the key becomes free; the caller isn't
-// kept waiting for that.
+// Proposes the release again until it is confirmed, so that the key becomes
+// free. The caller gets its outcome after the grace period at the latest.
 guard_step execution_guard::retry_release(time_point now, std::uint64_t wall_ms)
 {
     auto step = propose_release(wall_ms);
--- a/nutmegusher/execution/execution_guard.hpp
+++ b/nutmegusher/execution/execution_guard.hpp
@@ -1,4 +1,4 @@
-// The executor's side of one call that may not be repeated.
+// The executor's side of one non-repeatable call.
 #ifndef NUTMEGUSHER_EXECUTION_EXECUTION_GUARD_HPP
 #define NUTMEGUSHER_EXECUTION_EXECUTION_GUARD_HPP
 
@@ -11,27 +11,29 @@
 namespace nutmegusher
 {
 
-// One call, as the daemon beside the upstream received it.
+// One call, as received by the daemon that runs beside the upstream.
 struct execution_request
 {
     messages::claim_key key;
     messages::attempt by;
-    // `execution` may be left 0: each guard of a process then gets its own.
+    // If `execution` is 0, the guard assigns an id that is unique in its
+    // process.
     messages::claim_executor executor;
     std::uint64_t request_digest = 0;
-    // Not started at or after this.
+    // The call is not started at or after this time.
     time_point deadline;
-    // How long after the deadline a release may still be confirmed before the
-    // caller is answered without it: about one change of leader.
+    // How long after the deadline the guard waits for the confirmation of a
+    // release before it answers the caller without it. The default covers about
+    // one change of leader.
     duration release_grace = std::chrono::seconds(1);
 };
 
-// What a caller may be told of its call.
+// The outcome of a call, as reported to its caller.
 enum class call_outcome : std::uint8_t
 {
-    completed, // the whole first answer
-    not_run,   // it certainly was not run by this attempt, and never will be
-    unknown    // it may have run; ask again with the same key
+    completed, // the complete first answer is available
+    not_run,   // this attempt did not run the call and never will
+    unknown    // the call may have run; retry with the same key
 };
 
 enum class outcome_reason : std::uint8_t
@@ -52,11 +54,12 @@
 {
     call_outcome outcome = call_outcome::unknown;
     outcome_reason reason = outcome_reason::none;
-    // Set where an earlier attempt's answer is repeated.
+    // Set if this is the stored answer of an earlier attempt.
     std::optional<messages::stored_answer> answer;
 };
 
-// What the daemon does next; all that is set, in this order.
+// What the daemon does next: every action that is set, in this
+// order.
 struct guard_step
 {
     std::optional<messages::claim_command> propose;
@@ -64,68 +67,73 @@
     std::optional<reported_outcome> report;
 };
 
-// Where a call stands.
+// The state of a call.
 enum class guard_state : std::uint8_t
 {
-    admitted,  // nothing was asked of the claim log: "not run" is true
-    claiming,  // a start was proposed: nothing is known until its answer
-    running,   // granted and handed to the upstream: only its answer counts
-    finishing, // the answer went to the caller, and is being recorded
-    releasing, // granted or not, it will never start; being recorded
+    admitted,  // nothing was proposed yet, so the call has not run
+    claiming,  // a start was proposed; its verdict is not known yet
+    running,   // granted and sent to the upstream; its answer decides
+    finishing, // the answer was reported; its recording is in progress
+    releasing, // the call won't run (again); the release is in progress
     ended
 };
 
-// Takes the events of one call in the order in which they happen. It asks for
-// the claim, starts the call at most once and only while it holds the claim,
-// and tells the caller exactly one outcome:
+// State machine for one call that must run at most once. It takes the events of
+// the call in the order in which they happen, proposes the claim, starts the
+// call at most once and only while it holds the claim, and reports exactly one
+// outcome to the caller:
 //
-// | state when it ends | told |
-// |---|---|
-// | admitted | not run |
-// | claiming: refused | what the verdict says |
-// | claiming: given up | as releasing |
-// | releasing: confirmed | not run |
-// | releasing: not confirmed in time | not run if granted before, else unknown
-// | | running: whole answer | completed | | running: broken | unknown; the
-// claim stays, so it never runs again | | running: the upstream vouches that it
-// had no effect | as releasing |
+// - admitted, then ended: not run.
+// - claiming, start refused: the outcome that the verdict implies.
+// - claiming, abandoned: as for releasing.
+// - releasing, confirmed: not run.
+// - releasing, not confirmed in time: not run if the claim was granted before,
+//   else unknown.
+// - running, complete answer: completed.
+// - running, incomplete answer: unknown. The claim stays, so the call never
+//   runs again.
+// - running, the upstream asserts that the call had no effect: as for
+//   releasing.
 //
 //     execution_guard guard(request);
 //     perform(guard.begin(now, wall_ms));
 //
-// An answer to a proposal which doesn't come in time is reported with
-// `claim_reply_lost`; the proposal is then made again, which is idempotent. The
-// caller of these functions spaces out such resends. For one thread.
+// If the reply to a proposal doesn't arrive in time, call `claim_reply_lost`.
+// The guard then repeats the proposal, which is idempotent. The caller has to
+// add a pause between such resends. Not thread-safe.
 class execution_guard
 {
 public:
     explicit execution_guard(execution_request request);
 
-    // `wall_ms` in all of these: the host's wall time in ms since 1970.
+    // Begins the call. In all of these functions `wall_ms` is the host's wall
+    // time in ms since 1970.
     guard_step begin(time_point now, std::uint64_t wall_ms);
 
-    // The verdict on a proposal; `proposed_action` is what was proposed.
+    // Handles the verdict on a proposal of `proposed_action`.
     guard_step claim_replied(
         time_point now,
         std::uint64_t wall_ms,
         messages::claim_command::ActionCase proposed_action,
         const messages::claim_result& result);
 
+    // Handles a proposal whose reply did not arrive in time.
     guard_step claim_reply_lost(time_point now, std::uint64_t wall_ms);
 
-    // The caller doesn't want it any more, or its time is over. A call that
-    // runs isn't touched: report its end when it has one.
+    // Cancels the call because the caller gave it up or its deadline passed. A
+    // running call isn't affected: report its end as usual.
     guard_step cancel(std::uint64_t wall_ms, outcome_reason reason);
 
-    // The upstream gave its whole answer. Bodies too large to keep come as a
-    // digest.
+    // Handles a complete answer of the upstream. A body that is too large to
+    // store is passed as a digest.
     guard_step call_completed(
         std::uint64_t wall_ms, const messages::stored_answer& answer);
 
-    // The upstream vouches that the call had no effect.
+    // Handles a refusal by which the upstream asserts that the call had no
+    // effect.
     guard_step call_refused(std::uint64_t wall_ms);
 
-    // The call was handed over, and its answer isn't whole.
+    // Handles a call that was sent to the upstream but got no complete answer.
     guard_step call_incomplete();
 
     [[nodiscard]] guard_state state() const
@@ -157,7 +165,7 @@
     guard_step retry_release(time_point now, std::uint64_t wall_ms);
     guard_step abandon(std::uint64_t wall_ms, outcome_reason reason);
 
-    // Tells once; later calls tell nothing.
+    // Sets `step.report` the first time; later calls do nothing.
     void report(guard_step& step, reported_outcome outcome);
     guard_step end(reported_outcome outcome);
 
@@ -169,8 +177,8 @@
     messages::stored_answer answer_;
 };
 
-// What an entry daemon that lost contact with the executor may tell its caller,
-// by the verdict on its fence.
+// Returns the outcome that an entry daemon reports to its caller after it lost
+// contact with the executor; `result` is the verdict on the fence it proposed.
 [[nodiscard]] reported_outcome
 outcome_of_fence(const messages::claim_result& result);
 
--- a/nutmegusher/execution/execution_guard_test.cpp
+++ b/nutmegusher/execution/execution_guard_test.cpp
@@ -45,7 +45,7 @@
         return reply(action::kStart, verdict, start_time);
     }
 
-    // Brings the guard to `running`.
+    // Brings the guard into the state `running`.
     void run()
     {
         guard.begin(start_time, wall_ms);
--- a/nutmegusher/execution/execution_property_test.cpp
+++ b/nutmegusher/execution/execution_property_test.cpp
@@ -1,7 +1,8 @@
-// At most one execution of a key, and true "not run"s, against a simple oracle.
+// Checks random simulations against a simple oracle: a key executes at most
+// once, and a call that was reported as not run has not run and never does.
 //
-// The same run with one mechanism switched off breaks the oracle; that shows
-// that the run reaches the failures which the mechanism is for.
+// With one mechanism disabled the same simulations violate the oracle. That
+// shows that they reach the failures that the mechanism prevents.
 #include "nutmegusher/execution/execution.hpp"
 #include "nutmegusher/execution/execution_simulation_test.hpp"
 
--- a/nutmegusher/execution/execution_simulation_test.hpp
+++ b/nutmegusher/execution/execution_simulation_test.hpp
@@ -1,6 +1,6 @@
-// Guards and the claim table together, with lost, late and repeated messages,
-// copies of attempts, crashes and frozen executors, and the oracle that judges
-// them. For tests only.
+// Simulates execution guards with a claim table under lost, late and duplicated
+// messages, copies of attempts, crashes and frozen executors. An oracle checks
+// the result. For tests only.
 #ifndef NUTMEGUSHER_EXECUTION_EXECUTION_SIMULATION_TEST_HPP
 #define NUTMEGUSHER_EXECUTION_EXECUTION_SIMULATION_TEST_HPP
 
@@ -19,17 +19,17 @@
 
 using action = messages::claim_command::ActionCase;
 
-// Which mechanism is switched off.
+// The mechanism that is disabled.
 enum class fault
 {
     none,
-    fence_ignored,        // "not run" is said without a record of the fence
-    claim_expires,        // a new attempt takes the claim of a silent one
-    start_without_answer, // a lost answer to a start counts as a grant
-    copies_share_claim    // the executor isn't told apart from its copies
+    fence_ignored,        // a fence is granted without being recorded
+    claim_expires,        // a new attempt takes over a claim in progress
+    start_without_answer, // a lost reply to a start counts as a grant
+    copies_share_claim    // copies of an attempt have the same executor
 };
 
-// Uniform below the bound.
+// Returns a random number below `bound`, uniformly distributed.
 using chooser = std::function<unsigned(unsigned bound)>;
 
 inline constexpr unsigned key_count = 2;
@@ -50,8 +50,9 @@
     execution_request request;
     execution_guard guard;
     bool alive = true;
-    // The upstream had the call, and doesn't vouch that it did nothing.
+    // The upstream got the call and has not asserted that it had no effect.
     bool executed = false;
+    // At least one claim command was proposed.
     bool claimed = false;
 };
 
@@ -62,7 +63,7 @@
     std::optional<messages::claim_result> reply;
 };
 
-// One run: each step is an event chosen by `choose`.
+// One simulation. Each step performs an event that `choose` selects.
 class simulation
 {
 public:
@@ -119,7 +120,7 @@
         }
     }
 
-    // Empty: the oracle holds.
+    // Returns the violation that the oracle found, if any.
     [[nodiscard]] std::optional<std::string> violation() const
     {
         std::set<std::string> ran_keys;
@@ -131,11 +132,11 @@
             }
             if (!ran_keys.insert(one.request.key.idempotency_key()).second)
             {
-                return "executed twice";
+                return "a key was executed twice";
             }
             if (not_run_.contains(one.request.by.sequence()))
             {
-                return "ran after 'not run'";
+                return "an attempt reported as not run was executed";
             }
         }
         return other_violation_;
@@ -197,7 +198,7 @@
             return;
         }
         auto& found = messages_[choose_(count(messages_))];
-        // It stays in the network: it may come again, and late.
+        // The message stays queued, so it may be delivered again, also late.
         found.reply = apply(found.command);
     }
 
@@ -244,7 +245,7 @@
         {
             return;
         }
-        // Kept, so that it may come again.
+        // The reply stays queued, so it may be delivered again.
         const auto found = messages_[choose_(count(messages_))];
         if (!found.reply)
         {
@@ -289,7 +290,7 @@
         perform(index, one.guard.claim_reply_lost(now_, wall_ms_));
     }
 
-    // The call at the upstream comes to an end.
+    // Ends the call at the upstream: refused, incomplete or completed.
     void end_call(std::size_t index)
     {
         auto& one = executors_[index];
@@ -330,7 +331,8 @@
         }
     }
 
-    // An operator who knows what a crashed executor did.
+    // Resolves the claim of a crashed executor as an operator who knows whether
+    // the call was executed.
     void resolve(std::size_t index)
     {
         const auto& one = executors_[index];
@@ -371,7 +373,7 @@
         const auto restored = claim_table::restore(table_.snapshot());
         if (restored && restored->snapshot() != table_.snapshot())
         {
-            other_violation_ = "a restored table differs";
+            other_violation_ = "a restored table differs from its snapshot";
         }
     }
 
@@ -410,7 +412,7 @@
                 source.request.key.idempotency_key() !=
                     request.key.idempotency_key())
             {
-                other_violation_ = "the answer to another request";
+                other_violation_ = "a call got the answer of another request";
             }
         }
     }
--- a/nutmegusher/execution/request_digest.cpp
+++ b/nutmegusher/execution/request_digest.cpp
@@ -18,7 +18,7 @@
     XXH64_reset(state_.get(), 0);
     for (const auto part : {method, path})
     {
-        // The length first, so that no two pairs run together alike.
+        // The length makes the boundary between method and path unambiguous.
         const auto size = static_cast<std::uint64_t>(part.size());
         XXH64_update(state_.get(), &size, sizeof(size));
         update(part);
--- a/nutmegusher/execution/request_digest.hpp
+++ b/nutmegusher/execution/request_digest.hpp
@@ -1,4 +1,4 @@
-// A digest of a request's content.
+// A digest of a request's method, path and body.
 #ifndef NUTMEGUSHER_EXECUTION_REQUEST_DIGEST_HPP
 #define NUTMEGUSHER_EXECUTION_REQUEST_DIGEST_HPP
 
@@ -6,30 +6,32 @@
 #include <memory>
 #include <string_view>
 
-// The hash library's own state; its header stays in the source file.
+// State of the hash library; declared here to keep its header out of this one.
 struct XXH64_state_s; // NOLINT(readability-identifier-naming)
 
 namespace nutmegusher
 {
 
-// Tells whether a repeated idempotency key came with the same request. The body
-// is fed in as it streams by; how it is cut into pieces doesn't matter.
+// Computes a digest that shows whether a repeated idempotency key came with the
+// same request. The body is added in chunks as it is streamed; the chunk
+// boundaries don't affect the digest.
 //
 //     request_digest digest("POST", "/disbursement/pay");
 //     digest.update(chunk);
 //     const auto value = digest.value();
 //
-// Not cryptographic: a customer who looks for two bodies with one digest only
-// gets the first one's answer for the second, under a key of its own.
+// Not cryptographic: a customer who constructs two bodies with the same digest
+// only gets the answer to the first one for the second, under its own key.
 class request_digest
 {
 public:
     request_digest(std::string_view method, std::string_view path);
 
+    // Adds a chunk of the body.
     void update(std::string_view chunk);
 
-    // Of all that was fed in so far; the same on every host and build. Never 0,
-    // which stands for any request in a fence.
+    // Returns the digest of everything added so far; it is the same on every
+    // host and build. Never 0, which stands for any request in a fence.
     [[nodiscard]] std::uint64_t value() const;
 
 private:
--- a/nutmegusher/execution/request_ledger.cpp
+++ b/nutmegusher/execution/request_ledger.cpp
@@ -76,8 +76,9 @@
     return total;
 }
 
-// The last one of an id takes all that is left; an earlier one at most what it
-// brought, so that the others keep theirs.
+// Returns the tokens for the answer of a request that ends. The last request of
+// an id gets all that are left; an earlier one gets at most as many as it
+// received, so that the others keep theirs.
 retry_tokens
 request_ledger::close(const request_id& id, std::uint32_t received_tokens)
 {
--- a/nutmegusher/execution/request_ledger.hpp
+++ b/nutmegusher/execution/request_ledger.hpp
@@ -1,4 +1,5 @@
-// The requests that run at one upstream, and what their sub-calls share.
+// The requests that run at one upstream, and what they share with their
+// sub-calls.
 #ifndef NUTMEGUSHER_EXECUTION_REQUEST_LEDGER_HPP
 #define NUTMEGUSHER_EXECUTION_REQUEST_LEDGER_HPP
 
@@ -16,7 +17,7 @@
 namespace nutmegusher
 {
 
-// What a sub-call inherits from the request that it is a part of.
+// What a sub-call inherits from the request that it is part of.
 struct request_context
 {
     std::uint32_t rank = 0;
@@ -25,19 +26,20 @@
     class_name work_class;
 };
 
-// At the daemon beside an upstream: which requests run there, by request id.
-// A sub-call names the request's id and gets its terms and some of its retry
-// tokens; one with an unknown id gets nothing.
+// Table of the requests that run at an upstream, by request id, kept by the
+// daemon beside it. A sub-call that names the id of such a request gets its
+// context and some of its retry tokens; an unknown id gets nothing.
 //
 //     auto running = ledger.open(id, context, retry_tokens::received(2));
 //     if (auto sub_call = ledger.begin_sub_call(id, 1)) { ... }
 //     answer.retry_tokens = running.finish().send();
 //
-// A request that calls itself in a circle runs several times under one id;
-// these share their tokens, and the latest deadline holds.
+// A request whose call path leads back to this upstream runs several times
+// under one id. These runs share their tokens and the latest of their
+// deadlines.
 //
-// Safe from every thread: requests are spread over shards, each under a lock of
-// its own that is held for one look-up. Handles must not outlive the ledger.
+// Thread-safe: requests are distributed over shards, each with its own lock,
+// which is held for one look-up. Handles must not outlive the ledger.
 class request_ledger
 {
 public:
@@ -49,18 +51,19 @@
     // Requires: `shards` isn't zero.
     explicit request_ledger(std::size_t shards = default_shards);
 
+    // Registers a request that starts to run here; `tokens` came with it.
     [[nodiscard]] running_request
     open(const request_id& id, request_context context, retry_tokens tokens);
 
-    // Takes at most `wanted_tokens` of those that are left. Empty where no
-    // request of this id runs here.
+    // Begins a sub-call with at most `wanted_tokens` of the remaining tokens.
+    // Empty if no request with this id runs here.
     [[nodiscard]] std::optional<sub_call>
     begin_sub_call(const request_id& id, std::uint32_t wanted_tokens);
 
-    // Different ids that run now.
+    // Number of distinct ids that are running.
     [[nodiscard]] std::size_t size() const;
 
-    // Tokens that no sub-call holds now; for the dump and for tests.
+    // Number of tokens that no sub-call holds; for the dump and for tests.
     [[nodiscard]] std::uint64_t available_tokens() const;
 
 private:
@@ -84,7 +87,8 @@
     std::vector<shard> shards_;
 };
 
-// A request that runs now; it ends with `finish` or with this handle.
+// Handle of a running request, which ends with `finish` or when the handle is
+// destroyed.
 class request_ledger::running_request
 {
 public:
@@ -93,11 +97,11 @@
     running_request(const running_request&) = delete;
     running_request& operator=(const running_request&) = delete;
 
-    // The tokens are lost, as those of a lost answer.
+    // Ends the request; its remaining tokens are lost, as with a lost answer.
     ~running_request();
 
-    // Ends the request; its answer takes the tokens that are left. A later call
-    // gives none.
+    // Ends the request and returns the tokens that its answer carries back. A
+    // later call returns none.
     retry_tokens finish();
 
 private:
@@ -111,8 +115,8 @@
     std::uint32_t received_tokens_;
 };
 
-// A call that a running request makes. The tokens which it still holds at its
-// end go back to the request, or are lost where that has ended.
+// A call made by a running request. Tokens that it still holds when it is
+// destroyed go back to the request, or are lost if the request has ended.
 class request_ledger::sub_call
 {
 public:
@@ -127,8 +131,8 @@
         return context_;
     }
 
-    // To spend, to send along with a try, and to put back what its answer
-    // brought.
+    // The tokens of this call: to spend, to send with a try, and to add those
+    // that its answer returned.
     [[nodiscard]] retry_tokens& tokens()
     {
         return tokens_;
--- a/nutmegusher/execution/request_ledger_property_test.cpp
+++ b/nutmegusher/execution/request_ledger_property_test.cpp
@@ -1,5 +1,5 @@
-// Tokens are conserved across arbitrary trees of calls, lost and repeated
-// answers.
+// Checks that the number of retry tokens never grows in arbitrary trees of
+// calls with lost requests and with lost and repeated answers.
 #include "nutmegusher/execution/execution.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 constexpr std::size_t daemon_count = 4;
 const request_id shared_id("r-1");
 
-// One call between two daemons, from its sending to its answer.
+// One call between two daemons, from its request to its answer.
 struct call
 {
     std::size_t target = 0;
@@ -27,12 +27,12 @@
     std::shared_ptr<request_ledger::sub_call> origin;
     std::optional<request_ledger::running_request> running;
     std::optional<std::uint32_t> answer;
-    // What the answer holds until it first arrives.
+    // Tokens in the answer until it arrives for the first time.
     std::uint32_t in_answer = 0;
 };
 
-// A few daemons that call each other in any pattern for one request. Whatever
-// is destroyed with tokens inside is counted as lost.
+// A few daemons that call each other in arbitrary patterns for one request.
+// Tokens inside a destroyed object count as lost.
 class call_tree
 {
 public:
@@ -104,7 +104,7 @@
         }
     }
 
-    // The same answer may come again: it isn't taken off the network.
+    // The call stays in `calls_`, so the same answer may arrive again.
     void receive_answer(std::size_t index)
     {
         if (auto* found = pick(index); found != nullptr && found->answer)
@@ -135,7 +135,7 @@
         }
     }
 
-    // Everything that can still be spent, and what was.
+    // Number of tokens that were spent or can still be spent.
     [[nodiscard]] std::uint64_t total() const
     {
         std::uint64_t sum = spent_;
@@ -170,7 +170,8 @@
     std::uint32_t minted_;
     std::vector<request_ledger::running_request> roots_;
     std::vector<std::shared_ptr<request_ledger::sub_call>> sub_calls_;
-    // A call in flight keeps its origin after the caller gave it up.
+    // Includes sub-calls that were ended but are kept alive by a call in
+    // flight.
     std::vector<std::weak_ptr<request_ledger::sub_call>> all_sub_calls_;
     std::vector<std::unique_ptr<call>> calls_;
     std::uint64_t spent_ = 0;
@@ -212,7 +213,7 @@
         const auto one = *rc::gen::inRange<std::size_t>(0, 12);
         const auto two = *rc::gen::inRange<std::size_t>(0, 12);
         apply_action(tree, action, one, two);
-        // They may get lost, and never come from nowhere.
+        // Tokens may be lost but are never created.
         RC_ASSERT(tree.total() <= previous);
         previous = tree.total();
     }
--- a/nutmegusher/execution/retry_tokens.hpp
+++ b/nutmegusher/execution/retry_tokens.hpp
@@ -1,4 +1,4 @@
-// Retry tokens: moved, never copied.
+// Retry tokens, which can be moved but not copied.
 #ifndef NUTMEGUSHER_EXECUTION_RETRY_TOKENS_HPP
 #define NUTMEGUSHER_EXECUTION_RETRY_TOKENS_HPP
 
@@ -9,23 +9,23 @@
 namespace nutmegusher
 {
 
-// The right to so many retries. The daemon at which a request enters mints a
-// few; each call to the next hop carries some of them, and its answer brings
-// back what was left. Nothing makes more of them, so the retries of one request
-// stay below what was minted at any depth and fan-out. Tokens of a lost answer
-// are lost.
+// A number of tokens, each of which permits one retry. The daemon at which a
+// request enters mints a few. Each call to the next hop carries some of them,
+// and its answer returns the unused ones. No other daemon creates tokens, so
+// the retries of one request never exceed the number minted, at any depth and
+// fan-out. Tokens in a lost answer are lost.
 class retry_tokens
 {
 public:
     retry_tokens() = default;
 
-    // Only at a request's entry.
+    // Creates new tokens. Call it only at the entry of a request.
     static retry_tokens mint(std::uint32_t count)
     {
         return retry_tokens(count);
     }
 
-    // Those that a call from another daemon brought along.
+    // Wraps the tokens that a message from another daemon carried.
     static retry_tokens received(std::uint32_t count)
     {
         return retry_tokens(count);
@@ -52,7 +52,7 @@
         return count_;
     }
 
-    // Pays for one retry; false where there is none left.
+    // Uses one token for a retry. Returns false if there is none left.
     bool spend()
     {
         const bool paid = count_ > 0;
@@ -60,7 +60,7 @@
         return paid;
     }
 
-    // Moves at most `wanted` out.
+    // Moves at most `wanted` tokens into the result.
     retry_tokens take(std::uint32_t wanted)
     {
         const auto taken = std::min(wanted, count_);
@@ -68,12 +68,13 @@
         return retry_tokens(taken);
     }
 
+    // Adds the tokens of `other`.
     void put(retry_tokens&& other)
     {
         count_ += std::exchange(other.count_, 0);
     }
 
-    // Gives all of them to a message; they are no longer here.
+    // Moves all tokens into a message: returns their number and leaves none.
     std::uint32_t send()
     {
         return std::exchange(count_, 0);
@@ -88,8 +89,8 @@
     std::uint32_t count_ = 0;
 };
 
-// Remembers what a call took along, so that its answer brings back no more
-// than that, and only once.
+// The tokens that were sent with a call. Limits what its answer can return to
+// that number, and to one return.
 class outstanding_tokens
 {
 public:
@@ -98,7 +99,8 @@
     {
     }
 
-    // `answered`: what the answer claims to bring back.
+    // Returns the tokens that come back with the answer; `answered` is the
+    // number that the answer states.
     retry_tokens reclaim(std::uint32_t answered)
     {
         const auto sent = std::exchange(sent_, 0);
