--- a/nutmegusher/policy/retry_after_schedule.cpp
+++ b/nutmegusher/policy/retry_after_schedule.cpp
@@ -20,13 +20,13 @@
         std::max(capacity_per_second, min_capacity_per_second);
     const auto gap = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(1.0 / capacity));
-    last_ = std::clamp(last_ + gap, now, now + max_retry_after);
+    last_slot_ = std::clamp(last_slot_ + gap, now, now + max_retry_after);
     return wait(now);
 }
 
 duration retry_after_schedule::wait(time_point now) const
 {
-    return std::clamp(last_ - now, min_retry_after, max_retry_after);
+    return std::clamp(last_slot_ - now, min_retry_after, max_retry_after);
 }
 
 duration jittered(duration mean, random_engine& engine)
--- a/nutmegusher/policy/retry_after_schedule.hpp
+++ b/nutmegusher/policy/retry_after_schedule.hpp
@@ -42,7 +42,7 @@
 
 private:
     // The last place given.
-    time_point last_;
+    time_point last_slot_;
 };
 
 // One caller's own moment: uniform in [mean / 2, mean * 3 / 2].
--- a/nutmegusher/policy/retry_test.cpp
+++ b/nutmegusher/policy/retry_test.cpp
@@ -32,7 +32,7 @@
     random_engine engine{1};
 };
 
-TEST_F(retrying, goes_elsewhere_at_once)
+TEST_F(retrying, retries_at_another_upstream_at_once)
 {
     EXPECT_EQ(decide_retry(failed, engine), retry_decision(retry_at_once{}));
 }
@@ -46,7 +46,7 @@
     EXPECT_EQ(decide_retry(failed, engine), retry_decision(retry_at_once{}));
 }
 
-TEST_F(retrying, leaves_a_full_service_alone)
+TEST_F(retrying, does_not_retry_when_the_service_is_overloaded)
 {
     failed.how = try_failure::overload;
     failed.tries = 2;
@@ -56,7 +56,7 @@
     EXPECT_EQ(reason(), no_retry_reason::overloaded);
 }
 
-TEST_F(retrying, repeats_no_work_for_a_full_service_below)
+TEST_F(retrying, does_not_retry_when_a_deeper_service_is_overloaded)
 {
     failed.how = try_failure::overload_deeper;
     failed.certainly_not_run = true;
--- a/nutmegusher/policy/router_at_size_test.cpp
+++ b/nutmegusher/policy/router_at_size_test.cpp
@@ -235,7 +235,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    while_there_is_room, router_at_size, ::testing::Values(0.4, 0.55, 0.7));
+    below_capacity, router_at_size, ::testing::Values(0.4, 0.55, 0.7));
 
 } // namespace
 } // namespace nutmegusher
--- a/nutmegusher/policy/router_test.cpp
+++ b/nutmegusher/policy/router_test.cpp
@@ -148,7 +148,7 @@
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(routing, gives_a_leaving_upstream_nothing)
+TEST_F(routing, sends_no_calls_to_a_leaving_upstream)
 {
     set_up(3, 0);
     candidates[1].leaving = true;
