--- a/nutmegusher/policy/crash_evidence.cpp
+++ b/nutmegusher/policy/crash_evidence.cpp
@@ -11,13 +11,14 @@
 namespace
 {
 
-// More would say no more: three of them quarantine, and the last renews it.
+// Three crashes quarantine a request and the last one renews the quarantine, so
+// more crashes would add nothing.
 constexpr std::size_t max_crashes_kept = 6;
-// Two hosts see one moment this much apart at most, as messages take their
-// time. What completes isn't to blame for an end a little later either.
+// Due to message delays two hosts see one event at most this far apart. A
+// request also isn't suspected for a crash up to this long after it completed.
 constexpr duration clearing_tolerance = std::chrono::milliseconds(250);
 
-// Times that two hosts told differ by less.
+// Times of one event reported by two hosts differ by less than this.
 constexpr duration time_tolerance = std::chrono::milliseconds(100);
 
 bool is_cleared(const crash_record& record, const upstream_crash& end)
@@ -26,7 +27,8 @@
            end.crashed_at <= record.cleared_at + clearing_tolerance;
 }
 
-// Not an echo of the clearing that is known.
+// Whether `at` is a newer clearing than the known one, not the same one
+// reported by another host.
 bool is_newer_clearing(const crash_record& known, time_point at)
 {
     return at != time_point() && (known.cleared_at == time_point() ||
@@ -39,7 +41,7 @@
            std::pair(right.crashed_at, right.upstream);
 }
 
-// One of the runs began after another one's upstream had ended.
+// Whether one of the runs started after the upstream of another one crashed.
 bool recurred_after_crash(const std::vector<upstream_crash>& ends)
 {
     return std::ranges::any_of(
@@ -50,7 +52,8 @@
         });
 }
 
-// The oldest without which it still came again, if it did.
+// Index of the oldest crash that isn't needed to show that the request recurred
+// after a crash.
 std::size_t index_to_evict(const std::vector<upstream_crash>& ends)
 {
     if (!recurred_after_crash(ends))
@@ -75,7 +78,7 @@
     ends.insert(std::ranges::upper_bound(ends, crash, is_earlier), crash);
 }
 
-// False: known already, or too early to count.
+// Adds a crash. Returns false if it is already known or too old to count.
 bool insert(std::vector<upstream_crash>& ends, const upstream_crash& crash)
 {
     if (std::ranges::find(ends, crash.upstream, &upstream_crash::upstream) !=
@@ -89,8 +92,8 @@
     {
         const auto victim = std::next(
             all.begin(), static_cast<std::ptrdiff_t>(index_to_evict(all)));
-        // Ends of one moment would otherwise push each other out for ever, as
-        // hosts tell each other of them.
+        // Otherwise simultaneous crashes would evict each other again and again
+        // while hosts exchange their records.
         const bool is_simultaneous =
             crash.crashed_at <= victim->crashed_at + clearing_tolerance;
         const bool proves_recurrence =
--- a/nutmegusher/policy/crash_evidence.hpp
+++ b/nutmegusher/policy/crash_evidence.hpp
@@ -1,24 +1,26 @@
-// Which requests end the upstreams that run them ("queries of death").
+// Detects requests that crash the upstreams that run them ("queries of death").
 //
-// The daemon beside an upstream sees that it has ended, and which requests were
-// at work there; each of them is suspected. A request that completes anywhere
-// is cleared: one that ends every upstream never completes. One that was at
-// work at `crashes_to_quarantine` ends of as many upstreams without completing
-// since is quarantined, if it came again after one of them: upstreams that end
-// together, as with a rack, have the popular requests of that moment in common.
+// The daemon beside an upstream detects its crash and knows which requests were
+// in flight there; each of them is suspected. A request that completes on any
+// host is cleared: one that crashes every upstream never completes. A request
+// that was in flight at the crashes of `crashes_to_quarantine` different
+// upstreams and hasn't completed since is quarantined, provided that it was
+// started again after one of them. Without this condition upstreams that crash
+// together, such as those of one rack, would quarantine the popular requests of
+// that time, which they have in common.
 //
-// Requests are known by a digest of their content; nothing else of them is
-// kept. Tables of two hosts are merged record by record, in any order and any
-// number of times, so that evidence needs no agreement and survives each host
-// that holds it.
+// Requests are identified by a digest of their content; nothing else of them is
+// stored. The tables of two hosts are merged record by record. Merging is
+// commutative and idempotent, so evidence needs no consensus, and it survives
+// as long as any host that holds it.
 //
 //     crash_evidence evidence;
 //     evidence.add_crash(digest, {upstream, started_at, now}, service, now);
 //     const auto assessment = evidence.assess(digest, now);
 //     if (assessment.suspicion == crash_suspicion::quarantined)
-//         ... // refuse: it has not run
+//         ... // refuse the request; it hasn't run
 //
-// For one thread; reads no clock.
+// Not thread-safe; reads no clock.
 #ifndef NUTMEGUSHER_POLICY_CRASH_EVIDENCE_HPP
 #define NUTMEGUSHER_POLICY_CRASH_EVIDENCE_HPP
 
@@ -35,24 +37,25 @@
 namespace nutmegusher
 {
 
-// Ends of as many upstreams quarantine a request that was at work at each.
+// A request is quarantined after it was in flight at the crashes of this many
+// upstreams.
 inline constexpr std::size_t crashes_to_quarantine = 3;
 
 enum class crash_suspicion : std::uint8_t
 {
     none,
-    // It was at work where an upstream ended, and hasn't completed since.
+    // It was in flight on an upstream that crashed, and hasn't completed since.
     suspected,
-    // It isn't run any more.
+    // It is refused and not run.
     quarantined
 };
 
-// An upstream's end, with one of the requests that were at work there.
+// An upstream's crash, as seen by one of the requests in flight there.
 struct upstream_crash
 {
-    // Names the upstream and its start; the same wherever it is told.
+    // Identifies the upstream and its start; the same on every host.
     std::uint64_t upstream = 0;
-    // When the request began to run there, and when the upstream ended.
+    // When the request started there, and when the upstream crashed.
     time_point started_at;
     time_point crashed_at;
 
@@ -60,15 +63,15 @@
     operator==(const upstream_crash&, const upstream_crash&) = default;
 };
 
-// What is known of one request.
+// The evidence about one request.
 struct crash_record
 {
     std::uint64_t digest = 0;
     std::string service;
-    // By the time of the end; six at most: the latest, and those that show that
-    // it came again.
+    // Crashes, sorted by time; at most six: the latest, and those that show
+    // that the request recurred after a crash.
     std::vector<upstream_crash> ends;
-    // It completed, or was released, at that time; earlier ends count no more.
+    // When it last completed or was released; earlier crashes no longer count.
     // `time_point()`: never.
     time_point cleared_at;
 };
@@ -76,21 +79,23 @@
 struct crash_assessment
 {
     crash_suspicion suspicion = crash_suspicion::none;
-    // Ends that count.
+    // Number of crashes that count.
     std::size_t ends = 0;
 };
 
 struct crash_evidence_options
 {
-    // A quarantine ends so long after the last end. One more end then renews
-    // it, for as long again.
+    // A quarantine expires this long after the last crash. One more crash
+    // within the same time again renews it.
     duration quarantine = std::chrono::minutes(10);
-    // A request that completed on this host so lately isn't suspected there.
+    // A request that completed on this host within this time isn't suspected
+    // there.
     duration completion_retention = std::chrono::seconds(10);
-    // Records of requests; the one that changed longest ago gives way, those
-    // with several ends later, those in quarantine last. At least one.
+    // Limit on records. The least recently changed one is evicted first,
+    // records with several crashes later, quarantined ones last. Requires: at
+    // least 1.
     std::size_t max_records = 512;
-    // Completions that are remembered. At least one.
+    // Limit on stored completions. Requires: at least 1.
     std::size_t max_completions = 512;
 };
 
@@ -99,24 +104,25 @@
 public:
     explicit crash_evidence(crash_evidence_options options = {});
 
-    // An upstream of `service` has ended with the request at work.
+    // An upstream of `service` crashed with the request in flight.
     void add_crash(
         std::uint64_t digest,
         const upstream_crash& end,
         const std::string& service,
         time_point now);
 
-    // The request ran to its end on this host; ends that are told later and
-    // were before it don't count either. True: that cleared it, and others
-    // should hear of it.
+    // The request completed on this host. Crashes before that don't count, even
+    // if they are reported later. Returns true if this cleared its record, so
+    // that the change should be sent to other hosts.
     bool add_completion(std::uint64_t digest, time_point now);
 
-    // It completed here a moment ago, so that an upstream that ends now doesn't
-    // do so because of it.
+    // Whether the request completed on this host within
+    // `completion_retention`: it isn't suspected if an upstream crashes now.
     [[nodiscard]] bool
     completed_recently(std::uint64_t digest, time_point now) const;
 
-    // An operator says that it may run. False: nothing is known of it.
+    // An operator allows the request to run. Returns false if there is no
+    // record of it.
     bool release(std::uint64_t digest, time_point now);
 
     [[nodiscard]] crash_assessment
@@ -124,25 +130,26 @@
 
     [[nodiscard]] std::optional<crash_record> find(std::uint64_t digest) const;
 
-    // Takes what another host knows, with its times as times of this host, off
-    // by less than 100 ms. True: that was something new, or a completion here
-    // cleared it; others should hear of it.
+    // Merges a record of another host. Requires: its times are converted to the
+    // clock of this host, with an error of less than 100 ms. Returns true if
+    // the record brought something new or a completion here cleared it, so that
+    // the change should be sent to other hosts.
     bool merge(const crash_record& record, time_point now);
 
-    // Rises with each change.
+    // Counts changes; increases with each one.
     [[nodiscard]] std::uint64_t stamp() const
     {
         return stamp_;
     }
 
-    // What has changed since the stamp, for others; 0: all.
+    // Records changed since `stamp`, to be sent to other hosts; 0: all.
     [[nodiscard]] std::vector<crash_record>
     changes_since(std::uint64_t stamp) const;
 
-    // Those that are in quarantine.
+    // Records of the requests in quarantine.
     [[nodiscard]] std::vector<crash_record> quarantined(time_point now) const;
 
-    // Drops what has become old.
+    // Drops expired records and completions.
     void expire(time_point now);
 
     [[nodiscard]] std::size_t size() const
@@ -162,10 +169,11 @@
         std::uint64_t digest, const std::string& service, time_point now);
     void evict_if_full(time_point now);
     void mark_changed(entry& target, time_point now);
-    // Nothing of it counts any more.
+    // Whether nothing in the record counts any more.
     [[nodiscard]] bool
     is_expired(const crash_record& record, time_point now) const;
-    // True: it completed here after an end that was told later.
+    // Clears the record by a completion on this host. Returns true if the
+    // request completed after one of the crashes in it.
     bool clear_by_completion(crash_record& record);
     [[nodiscard]] crash_assessment
     assess(const crash_record& record, time_point now) const;
@@ -176,8 +184,8 @@
     std::uint64_t stamp_ = 0;
 };
 
-// Called at the ends of requests and upstreams on one host: which requests are
-// at work at its upstream.
+// Tracks the requests in flight at the upstream of one host, so that a crash
+// can be attributed to them.
 class in_flight_requests
 {
 public:
@@ -185,12 +193,12 @@
 
     [[nodiscard]] ticket begin(std::uint64_t digest, time_point now);
 
-    // It has its answer, was given up on, or never reached the upstream.
+    // The request was answered, was abandoned, or never reached the upstream.
     void end(ticket target);
 
-    // Its connection ended without an answer. Kept for
-    // `crash_detection_window`, within which all connections of an upstream
-    // that ends are seen to break.
+    // Its connection closed without an answer. Kept for
+    // `crash_detection_window`, within which all connections of a crashed
+    // upstream are found closed.
     void mark_lost(ticket target, time_point now);
 
     struct interrupted_request
@@ -199,8 +207,8 @@
         time_point started_at;
     };
 
-    // The upstream has ended: what was at work there, each digest once with its
-    // latest run. Nothing is at work any more.
+    // The upstream crashed. Returns the requests in flight there, each digest
+    // once with its latest start, and removes all of them.
     [[nodiscard]] std::vector<interrupted_request> take_all(time_point now);
 
     static constexpr duration crash_detection_window =
@@ -210,7 +218,7 @@
     struct run
     {
         interrupted_request request;
-        // `time_point::max()`: at work.
+        // `time_point::max()`: in flight.
         time_point lost_at = time_point::max();
     };
 
--- a/nutmegusher/policy/crash_evidence_replay_test.cpp
+++ b/nutmegusher/policy/crash_evidence_replay_test.cpp
@@ -1,5 +1,7 @@
-// Daemons beside upstreams that end, under a request or by themselves, and what
-// evidence does to requests.
+// Simulates hosts with an upstream each that crash because of a request or
+// independently of requests. Guards against a crashing request that is
+// quarantined too late, and against quarantines of requests that didn't cause
+// the crashes.
 #include "nutmegusher/policy/policy.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +26,7 @@
 
 constexpr std::size_t slots = 44;
 constexpr std::size_t popular_digests = 5;
-// Beside the popular ones, on a busy upstream.
+// Requests in flight on a busy upstream besides the popular ones.
 constexpr std::size_t rare_in_flight = slots - popular_digests;
 constexpr std::uint64_t crashing_digest = 1000;
 constexpr std::uint64_t first_rare = 10000;
@@ -35,7 +37,7 @@
 constexpr duration min_delay = 100ms;
 constexpr duration max_delay = 200ms;
 constexpr duration crash_detection_delay = 5ms;
-// Popular requests run before anything ends.
+// Popular requests run before the first crash.
 constexpr duration warm_up_time = 500ms;
 const time_point start = time_point() + 1h;
 
@@ -44,9 +46,10 @@
     std::uint64_t seed = 1;
     std::size_t hosts = 15;
     duration length = 6s;
-    // Between two sends of the deadly request; 0: there is none.
+    // Interval between two sends of the crashing request; 0: it isn't sent.
     duration send_interval = 0ms;
-    // Means; 0: never.
+    // Mean intervals between crashes that no request causes: per upstream, and
+    // of whole racks; 0: never.
     duration mean_own_crash_interval = 0s;
     duration mean_rack_crash_interval = 0s;
     std::size_t rack_size = 4;
@@ -139,7 +142,8 @@
         bool is_up = false;
         std::uint64_t incarnation = 0;
         std::unordered_map<std::uint64_t, run> runs;
-        // Digests with two or more ends that were let in alone.
+        // Digests with two or more crashes of which one run at a time is
+        // admitted.
         std::set<std::uint64_t> isolated;
         std::uint64_t sent_stamp = 0;
     };
@@ -200,7 +204,7 @@
         }
     }
 
-    // Enters at the daemon beside.
+    // A popular request enters at the daemon beside the upstream.
     void run_popular(
         std::size_t index, std::uint64_t incarnation, std::uint64_t digest)
     {
@@ -224,7 +228,7 @@
            });
     }
 
-    // One request after the other, each of its own content.
+    // Runs requests one after the other, each with a digest of its own.
     void run_rare_requests(std::size_t index, std::uint64_t incarnation)
     {
         if (!hosts_[index].is_up || hosts_[index].incarnation != incarnation)
@@ -258,7 +262,8 @@
            });
     }
 
-    // The entry rule.
+    // Applies the rules of the entry: refuses quarantined requests, and admits
+    // suspected ones with two or more crashes one at a time, without a retry.
     void enter(run one, std::size_t excluded)
     {
         auto& entry = hosts_[one.entry];
@@ -282,7 +287,7 @@
                              : random_between(100ms, 1900ms));
     }
 
-    // The client of a rare request doesn't give up at once.
+    // The client of a rare request retries after a second, a few times.
     void send_later(run one)
     {
         if (one.digest < first_rare || one.sends_left == 0)
@@ -413,7 +418,7 @@
         broadcast(from, changes);
     }
 
-    // Times arrive off by less than the least delay.
+    // Times arrive with an error of less than the minimum delay.
     void broadcast(std::size_t from, const std::vector<crash_record>& changes)
     {
         if (changes.empty())
@@ -468,7 +473,7 @@
             }
             check_quarantine(to, each.digest);
         }
-        // Others are told the rest as well.
+        // Broadcasts the records that a completion on this host cleared.
         auto own = here.evidence.changes_since(here.sent_stamp);
         here.sent_stamp = here.evidence.stamp();
         std::erase_if(
@@ -516,7 +521,7 @@
            });
     }
 
-    // Hosts beside each other, within 50 ms.
+    // Crashes the upstreams of adjacent hosts within 50 ms.
     void schedule_rack_crash()
     {
         at(random_exponential(scenario_.mean_rack_crash_interval),
@@ -566,7 +571,7 @@
 TEST_P(crashing_request, crashes_few_upstreams)
 {
     const auto [hosts, gap] = GetParam();
-    // Each send that enters before the evidence is there has two tries.
+    // Each send that enters before the evidence has arrived makes two tries.
     const std::size_t sends_within_delay =
         max_delay < std::chrono::milliseconds(gap) - 2 * crashing_run_time ? 0
                                                                            : 1;
@@ -610,7 +615,7 @@
     quarantined_count += one.rare_quarantined.size();
 }
 
-// No request is to blame.
+// Runs scenarios in which no request causes a crash.
 void simulate_unrelated_crashes(scenario options, bool check_rare)
 {
     scenario_result all;
@@ -622,10 +627,10 @@
         EXPECT_EQ(result.popular_quarantines_too_long, 0U) << options.seed;
         accumulate(all, result, in_flight_at_crash, quarantined_count);
     }
-    std::cout << "ends " << all.ends << ", rare at work " << in_flight_at_crash
-              << ", blamed " << quarantined_count << ", popular told "
-              << all.popular_suspected << ", quarantined "
-              << all.popular_quarantines << '\n';
+    std::cout << "crashes " << all.ends << ", rare in flight "
+              << in_flight_at_crash << ", quarantined " << quarantined_count
+              << ", popular suspected " << all.popular_suspected
+              << ", popular quarantined " << all.popular_quarantines << '\n';
     EXPECT_GT(in_flight_at_crash, 1000U);
     if (check_rare)
     {
@@ -633,7 +638,7 @@
     }
 }
 
-// Each upstream ends in 10 minutes, a rack in 30 s.
+// Each upstream crashes every 10 minutes on average, and one rack every 30 s.
 TEST(crash_evidence_replay, unrelated_crashes_quarantine_few_requests)
 {
     scenario options;
@@ -644,7 +649,8 @@
     simulate_unrelated_crashes(options, true);
 }
 
-// Each upstream ends in 20 s, a rack in 4 s: more than a fleet bears.
+// Each upstream crashes every 20 s on average, and one rack every 4 s: more
+// than a real fleet would survive.
 TEST(
     crash_evidence_replay,
     popular_requests_stay_unquarantined_at_any_crash_rate)
@@ -657,8 +663,8 @@
     simulate_unrelated_crashes(options, false);
 }
 
-// A quarter of the upstreams ends at once, again and again, from the first
-// moment on: popular requests haven't completed yet.
+// A quarter of the upstreams crashes together, repeatedly and from the start,
+// when popular requests haven't completed yet.
 TEST(
     crash_evidence_replay, popular_requests_stay_unquarantined_when_racks_crash)
 {
--- a/nutmegusher/policy/crash_evidence_test.cpp
+++ b/nutmegusher/policy/crash_evidence_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are blamed for the ends of upstreams, and which aren't.
+// Which requests are suspected of crashing upstreams, and which aren't.
 #include "nutmegusher/policy/policy.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
     to.add_crash(digest, crash_at(upstream, start + after), "s", start + after);
 }
 
-// Ends of three upstreams, one a second.
+// Reports crashes of three upstreams, one per second.
 void quarantine(crash_evidence& in, std::uint64_t digest, duration after = 0s)
 {
     for (std::uint64_t upstream = 1; upstream <= 3; ++upstream)
@@ -289,15 +289,15 @@
     EXPECT_TRUE(work.take_all(start + 511ms).empty());
 }
 
-// Something that happened to a request; true times.
+// A crash, completion or release of a request, with its true time.
 struct reported_event
 {
     crash_record record;
     bool is_completion = false;
 };
 
-// Moments are further apart than hosts see one moment, so that each question
-// of before and after has one answer.
+// Larger than the difference between the times at which two hosts see one
+// event, so that the order of events is the same on all hosts.
 constexpr duration event_spacing = 1s;
 constexpr std::uint64_t digest_count = 4;
 
@@ -342,7 +342,8 @@
     return record;
 }
 
-// An end goes from host to host three times at most.
+// Error of a transmitted time. A record is forwarded at most three times, and
+// three of these errors stay below the tolerance of 100 ms.
 duration random_delay(random_engine& engine)
 {
     return std::chrono::milliseconds(uniform_below(engine, 33));
@@ -379,7 +380,7 @@
     return changed;
 }
 
-// Each event to each table, in any order, some more than once.
+// Reports each event to each table, in random order, some more than once.
 void report_all(
     three_tables& tables,
     const std::vector<reported_event>& history,
