--- a/nutmegusher/policy/error_meter.cpp
+++ b/nutmegusher/policy/error_meter.cpp
@@ -38,7 +38,7 @@
     all_.failed_calls += 1;
 }
 
-// The part of all errors that no failed call explains.
+// Fraction of all errors that failed sub-calls don't account for.
 double error_meter::own_error_fraction(time_point now) const
 {
     auto all = all_;
--- a/nutmegusher/policy/error_meter.hpp
+++ b/nutmegusher/policy/error_meter.hpp
@@ -1,25 +1,25 @@
-// How large a share of an upstream's answers are errors of its own.
+// Measures the share of an upstream's answers that are its own errors.
 //
 //     meter.on_answer(caller_data_center, status >= 500, now);
 //     meter.on_failed_call(now);     // a call that the upstream made failed
-//     tell(meter.share(caller_data_center, now));
+//     report(meter.share(caller_data_center, now));
 //
-// Pattern of load: one upstream of a service fails part of its calls, quickly,
-// while its health endpoint says that all is well. Failing takes no time, so it
-// looks like the least loaded of all and draws the calls of the others. Where a
-// request needs four calls of the service, one failing upstream of five takes
-// six requests in ten.
+// Pattern of load: one upstream of a service quickly fails part of its calls,
+// while its health endpoint reports it healthy. Failing takes no time, so it
+// looks like the least loaded upstream and attracts calls from the others. If a
+// request needs four calls of the service, one failing upstream of five causes
+// six requests in ten to fail.
 //
 // The daemon beside the upstream sees all of its answers, while each caller
-// sees a few: so the meter is there, and what it says travels with every
-// answer.
+// sees only a few. So that daemon has the meter and reports its value with
+// every answer.
 //
-// - An upstream answers with an error, too, when a call that it made has
-// failed.
-//   These are taken out: a fault behind the service would otherwise look like
-//   one of all its upstreams.
-// - By the data centre of the callers: an upstream may fail some of them alone.
-// - A few answers prove nothing: see `min_answers`.
+// - An upstream also answers with an error if one of its sub-calls failed.
+//   These errors are subtracted: otherwise a fault of a downstream service
+//   would look like a fault of all upstreams.
+// - Errors are counted per data centre of the callers: an upstream may fail the
+//   calls of one data centre only.
+// - A few answers aren't significant: see `min_answers`.
 #ifndef NUTMEGUSHER_POLICY_ERROR_METER_HPP
 #define NUTMEGUSHER_POLICY_ERROR_METER_HPP
 
@@ -40,20 +40,22 @@
     // A call that the upstream made failed or was refused.
     void on_failed_call(time_point now);
 
-    // In [0, 1], over the last seconds; 0 where too few answers were seen.
+    // Share of the answers over the last few seconds that are the upstream's
+    // own errors, in [0, 1], for callers in the data centre. If these got too
+    // few answers, over all data centres; 0 if these are too few as well.
     [[nodiscard]] double
     share(const data_center_name& from, time_point now) const;
 
-    // Answers that must have been seen lately. Users' classes fail 4 in 1,000
-    // calls by themselves; of five that happens to two once in 6,000 times.
+    // Minimum number of recent answers. In the users' classes 4 calls in 1,000
+    // fail at any upstream; two of five do so once in 6,000 times.
     static constexpr double min_answers = 5;
 
-    // Answers count half after this: an upstream that recovers is told of
-    // within the seconds in which service has to be back.
+    // Half-life of the counts, short enough that a recovery is reported within
+    // the few seconds in which service must be restored.
     static constexpr duration half_life = std::chrono::seconds(1);
 
 private:
-    // Counts that halve with time.
+    // Exponentially decaying counts; `at`: when they were last decayed.
     struct counts
     {
         double answers = 0;
--- a/nutmegusher/policy/error_meter_test.cpp
+++ b/nutmegusher/policy/error_meter_test.cpp
@@ -15,7 +15,7 @@
 class error_meter_test : public testing::Test
 {
 protected:
-    // One answer each 10 ms; `every`: one in so many is an error, 0: none.
+    // Adds one answer each 10 ms; one in `every` is an error, 0: none.
     void add_answers(const data_center_name& from, int count, int every)
     {
         for (int i = 0; i < count; ++i)
--- a/nutmegusher/policy/retry_after_schedule.cpp
+++ b/nutmegusher/policy/retry_after_schedule.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// Where nothing drains one place a second is given, so that the line stays
-// finite and somebody comes to look.
+// Without any capacity one slot a second is assigned, so that the wait stays
+// finite and some callers probe for a recovery.
 constexpr double min_capacity_per_second = 1.0;
 
 } // namespace
--- a/nutmegusher/policy/retry_after_schedule.hpp
+++ b/nutmegusher/policy/retry_after_schedule.hpp
@@ -1,15 +1,15 @@
-// When refused work may come back.
+// Schedules when callers of refused calls may retry.
 //
-//     const duration wait = returns.next(spare_per_second, now);
-//     answer.retry_after(jittered(wait, engine));
+//     const duration wait = schedule.next(spare_calls_per_second, now);
+//     answer.set_retry_after(jittered(wait, engine));
 //
-// Pattern of load: a surge is refused, and all of its callers return at the
-// same moment; each return is a new surge, and the overload outlasts its
-// cause. Without this the callers guess, and most guess "now".
+// Pattern of load: a surge is refused, and all of its callers retry at the same
+// time; each wave of retries is a new surge, and the overload outlasts its
+// cause. Callers that aren't given a time guess one, and most retry at once.
 //
-// Refused callers are given places in a line, one after the other as fast as
-// there will be room for them: whoever is refused later comes back later, also
-// when the surge itself is over and only the returns are still to come.
+// Refused callers get consecutive retry slots, spaced by the rate at which
+// there will be capacity for them: a caller that is refused later retries
+// later, even after the surge itself, while its retries are still outstanding.
 #ifndef NUTMEGUSHER_POLICY_RETRY_AFTER_SCHEDULE_HPP
 #define NUTMEGUSHER_POLICY_RETRY_AFTER_SCHEDULE_HPP
 
@@ -19,33 +19,34 @@
 namespace nutmegusher
 {
 
-// No caller is sent away for less: a round trip to a client and back takes
-// about this (8 ms one way in the larger of the two users' networks).
+// Lower bound of the retry-after time: about one round trip to a client (8 ms
+// one way in the larger of the two users' networks).
 inline constexpr duration min_retry_after = std::chrono::milliseconds(16);
 
-// No caller is sent away for longer, whatever the backlog: what was promised
-// is counted in seconds, and pressure may pass at any moment.
+// Upper bound of the retry-after time for any backlog: recovery is promised
+// within seconds, and the overload may end at any time.
 inline constexpr duration max_retry_after = std::chrono::seconds(5);
 
-// The line of refused callers of one rank or class.
+// Retry slots of the refused callers of one rank or class.
 class retry_after_schedule
 {
 public:
-    // Gives the next caller its place: how long it should stay away.
-    // `capacity_per_second`: calls of its kind that can be let in a second. A
-    // call refused here was mostly refused by one other upstream too, and has a
-    // place there: that leaves half of the room to those who come anew.
+    // Assigns the next slot and returns the caller's retry-after time.
+    // `capacity_per_second`: calls of this rank or class that can be admitted
+    // per second. Most calls refused here were refused by another upstream as
+    // well and have a slot there, which leaves half of the capacity to new
+    // calls.
     duration next(double capacity_per_second, time_point now);
 
-    // How long a caller refused now would be sent away.
+    // The retry-after time of a caller refused now, without assigning a slot.
     [[nodiscard]] duration wait(time_point now) const;
 
 private:
-    // The last place given.
+    // The slot assigned last.
     time_point last_slot_;
 };
 
-// One caller's own moment: uniform in [mean / 2, mean * 3 / 2].
+// Adds jitter for one caller: uniform in [mean / 2, mean * 3 / 2].
 [[nodiscard]] duration jittered(duration mean, random_engine& engine);
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/retry_allowance.hpp
+++ b/nutmegusher/policy/retry_allowance.hpp
@@ -1,14 +1,15 @@
-// How often calls of one service may be sent a second time by this daemon.
+// Limits how often this daemon retries calls of one service.
 //
-//     allowance.on_call();                  // a call is sent the first time
-//     if (allowance.take()) send_again();   // one that may have run already
+//     allowance.on_call();             // a call is sent for the first time
+//     if (allowance.take()) retry();   // a call that may have run already
 //
-// Pattern of load: an upstream loses answers or fails, and every daemon sends
-// its calls again; each repeat makes its sub-calls again, at every level
-// below. Calls here name no request that they are a part of, so no tokens can
-// travel with them; instead each daemon keeps to a share of its own calls.
-// What all daemons together repeat is then that share of all calls, whatever
-// their number, plus one reserve each.
+// Pattern of load: an upstream loses answers or fails, and every daemon retries
+// its calls; each retry makes its sub-calls again, at every level below. These
+// calls don't name the request that they belong to, so no retry tokens can
+// travel with them (as in `retry_budget`). Instead each daemon retries at most
+// a fixed ratio of its own calls. The retries of all daemons together are then
+// that ratio of all calls, for any number of daemons, plus one `max_balance`
+// per daemon.
 #ifndef NUTMEGUSHER_POLICY_RETRY_ALLOWANCE_HPP
 #define NUTMEGUSHER_POLICY_RETRY_ALLOWANCE_HPP
 
@@ -20,17 +21,17 @@
 class retry_allowance
 {
 public:
-    // Of the requests of members and clerks: half of what operators allow a
-    // service (a fifth of its calls), as each repeat makes its sub-calls again.
+    // Retries per request of a member or clerk: half of what operators allow a
+    // service (a fifth of its calls), as each retry makes its sub-calls again.
     static constexpr double ratio_of_requests = 0.1;
 
-    // Of sub-calls. With the ratio above it keeps each of the four services of
-    // the users' chains below a fifth, whatever fails at once: 0.10, 0.12, 0.15
-    // and 0.18 of the calls from the first to the last, worked out at the
-    // Association's rates and without the reserves.
+    // Retries per sub-call. With the ratio above it keeps the retries at each
+    // of the four services of the users' chains below a fifth of its calls,
+    // whatever fails at once: 0.10, 0.12, 0.15 and 0.18 from the first to the
+    // last, calculated at the Association's rates and without `max_balance`.
     static constexpr double ratio_of_sub_calls = 0.03;
 
-    // What a quiet time saves up.
+    // Retries that may accumulate while few are needed.
     static constexpr double max_balance = 2;
 
     explicit retry_allowance(double ratio)
@@ -43,7 +44,7 @@
         balance_ = std::min(balance_ + ratio_, max_balance);
     }
 
-    // True: one repeat may be sent, and is counted.
+    // Returns true if one retry may be sent, and deducts it.
     bool take()
     {
         if (balance_ < 1)
@@ -61,7 +62,7 @@
 
 private:
     double ratio_;
-    // A daemon that has just started may repeat one call.
+    // A daemon that has just started may retry one call.
     double balance_ = 1;
 };
 
--- a/nutmegusher/policy/retry_policy.cpp
+++ b/nutmegusher/policy/retry_policy.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::uint32_t max_pause_doublings = 6;
 
-// Two upstreams that refuse one after the other speak for the whole service,
-// whose levels may be a moment old.
+// If two upstreams in succession refuse, the whole service is considered
+// overloaded; the levels known of the others may be slightly outdated.
 constexpr std::uint32_t max_refused_tries = 2;
 
 } // namespace
--- a/nutmegusher/policy/retry_policy.hpp
+++ b/nutmegusher/policy/retry_policy.hpp
@@ -1,9 +1,10 @@
-// Whether a failed try is made again, and how many tokens a call takes along.
+// Decides whether a failed try is retried, and how many retry tokens a call
+// takes along.
 //
-// Pattern of load: retries help where one upstream is bad and harm where all
-// are full. So a refusal for overload is retried only where another upstream
-// is known to let the call in; a call that may not be repeated only when it
-// certainly was not run; and nothing that can no longer finish in time.
+// Pattern of load: retries help if one upstream is faulty and do harm if all
+// are overloaded. So a refusal for overload is retried only if another upstream
+// is known to admit the call, and a call that isn't idempotent only if it
+// certainly wasn't run. Nothing that can no longer finish in time is retried.
 #ifndef NUTMEGUSHER_POLICY_RETRY_POLICY_HPP
 #define NUTMEGUSHER_POLICY_RETRY_POLICY_HPP
 
@@ -21,48 +22,49 @@
 {
     // Refused for overload, by the daemon or by its upstream.
     overload,
-    // The upstream takes no new work.
+    // The upstream is shutting down and accepts no new calls.
     leaving,
-    // No connection came about.
+    // No connection could be established.
     not_connected,
     // The connection broke or went silent during the call.
     connection_lost,
-    // The answer broke off, or belongs to another call.
+    // The answer was truncated, or belongs to another call.
     answer_broken,
-    // The upstream answered that it failed.
+    // The upstream answered with an error.
     upstream_failed,
     // The deadline passed.
     deadline,
-    // The call ran, and one of its sub-calls was refused for overload: another
-    // upstream here would meet the same full service.
+    // The call ran, and one of its sub-calls was refused for overload: at
+    // another upstream of this service it would meet the same overloaded
+    // service.
     overload_deeper
 };
 
 struct failed_try
 {
     try_failure how = try_failure::upstream_failed;
-    // The class may run more than once.
+    // Requests of the class may run more than once.
     bool repeatable = false;
-    // The other side vouches that it wasn't run, or was never sent.
+    // The other side guarantees that the call wasn't run, or it was never sent.
     bool certainly_not_run = false;
-    // What the request has left at this hop.
+    // Retry tokens that the request has left at this hop.
     std::uint32_t tokens = 0;
     duration time_left{0};
-    // What a run takes here, most likely; zero where unknown.
+    // Expected duration of a run at this hop; zero if unknown.
     duration expected_time{0};
-    // An upstream that wasn't tried would take it: `has_alternative`.
+    // An upstream that wasn't tried would admit it: `router::has_alternative`.
     bool has_alternative = false;
-    // Tries made at this hop, this one included.
+    // Number of tries at this hop, this one included.
     std::uint32_t tries = 1;
 };
 
-// At another upstream, now. Costs one token.
+// Retry now, at another upstream. Costs one token.
 struct retry_at_once
 {
     friend bool operator==(retry_at_once, retry_at_once) = default;
 };
 
-// After a pause, at whichever upstream is best then. Costs one token.
+// Retry after a pause, at the best upstream then. Costs one token.
 struct retry_after
 {
     duration pause{0};
@@ -89,15 +91,15 @@
 
 using retry_decision = std::variant<retry_at_once, retry_after, no_retry>;
 
-// The mean pause before the first retry where no other upstream is left: a
-// new connection takes about 1 ms, a restarted listener some more. It doubles
+// Mean pause before the first retry if no other upstream is left: a new
+// connection takes about 1 ms, a restarted listener somewhat more. It doubles
 // with each try.
 inline constexpr duration first_pause = std::chrono::milliseconds(5);
 
 [[nodiscard]] retry_decision
 decide_retry(const failed_try& failed, random_engine& engine);
 
-// How a hop divides its tokens between itself and the call that it sends.
+// How a hop divides its retry tokens between itself and the call that it sends.
 struct token_split
 {
     std::uint32_t kept = 0;
@@ -106,10 +108,10 @@
     friend bool operator==(token_split, token_split) = default;
 };
 
-// Most go down, as a retry near the fault repeats the least work, and what is
-// left comes back with the answer. One of several stays here for the case
-// that no answer comes back; the tokens of a lost answer are lost. The last
-// one goes down.
+// Most tokens go with the call, as a retry near the fault repeats the least
+// work, and the unused ones return with the answer. If there are several, one
+// stays here in case no answer arrives, since the tokens of a lost answer are
+// lost. A single token goes with the call.
 [[nodiscard]] token_split split_tokens(std::uint32_t tokens);
 
 } // namespace nutmegusher
--- a/nutmegusher/policy/retry_test.cpp
+++ b/nutmegusher/policy/retry_test.cpp
@@ -93,9 +93,10 @@
     EXPECT_FALSE(keys.is_repeated(1, clock.now()));
 }
 
-// A chain of any depth where every call fails with some chance, each hop
-// with the shipped split and decision: what is spent stays within what was
-// minted, and retries of the class within the ratio and what was saved.
+// A chain of random depth in which every call fails with some probability and
+// each hop uses the real split and decision. Guards against retries multiplying
+// in the chain: no request may spend more tokens than it was issued, and all
+// retries of the class must stay within the ratio and the accumulated balance.
 RC_GTEST_PROP(retry_chain, spends_no_more_than_was_issued, ())
 {
     random_engine engine(*rc::gen::arbitrary<std::uint64_t>());
@@ -104,7 +105,7 @@
     retry_budget budget;
     constexpr int requests = 300;
     std::uint64_t retries = 0;
-    // Returns what is left of `tokens`; `ok` tells how the call ended.
+    // Returns the remaining `tokens`; `ok` is set if the call succeeded.
     const auto call = [&](const auto& self,
                           int hop,
                           std::uint32_t tokens,
