--- a/nutmegusher/policy/router.cpp
+++ b/nutmegusher/policy/router.cpp
@@ -17,52 +17,55 @@
     network_distance::same_region,
     network_distance::other_region};
 
-// An upstream this many times slower than the median of the others gives
-// callers less than a third of what another would; noise of its moving mean
-// stays within one and a half.
+// An upstream this many times slower than the median of the others serves less
+// than a third of what another would. Noise of its moving average stays within
+// a factor of 1.5.
 constexpr double slow_factor = 3.0;
 constexpr double median_check_factor = 1.5;
 constexpr double mean_latency_weight = 1.0 / 64;
-// Differences below this are the network and the scheduler of the host.
+// Differences below this are noise of the network and of the host's scheduler.
 constexpr double min_slow_seconds = 0.005;
 
-// How long an upstream's own word that it leaves is remembered: membership says
-// so within about a second.
+// How long an upstream that refused because it is leaving gets no calls;
+// membership reports it within about a second.
 constexpr duration leaving_retention = std::chrono::seconds(2);
-// Exponential times exceed four times their mean once in fifty; with a budget
-// of a tenth for all retries that is little.
+// Exponentially distributed latencies exceed four times their mean once in
+// fifty calls, which is little compared to a budget of a tenth for all retries.
 constexpr double timeout_factor = 4.0;
 constexpr double min_timeout_seconds = 0.05;
 
-// An upstream that joins a running service gets a fifth of the usual work at
-// first and the whole after this, as its own warm-up needs about a second.
+// Slow start: an upstream that joins a running service gets a fifth of its
+// usual calls at first and all of them after this, as its warm-up takes about a
+// second.
 constexpr duration slow_start_duration = std::chrono::seconds(1);
 constexpr double slow_start_cost = 4.0;
-// An upstream's word on its load says nothing after this; a busy one gives it
-// hundreds of times a second.
+// A load report counts in full for this time, then its weight decays; a busy
+// upstream reports hundreds of times a second.
 constexpr duration load_lifetime = std::chrono::seconds(1);
 constexpr double min_slot_time_seconds = 0.001;
-// Waiting for a slot counts twice: the word is a little old, and others have
-// sent calls there meanwhile.
+// Waiting for a slot counts twice: the load report is slightly outdated, and
+// other daemons have sent calls there since.
 constexpr double queue_weight = 2.0;
-// What the last slots cost more than the first, in mean times of the service's
-// calls: there others send calls at the same time, and a call that finds none
-// free waits. In times of the upstream itself a fast one was kept full while a
-// slow one had a third of its slots free: at 0.88 of what three could do, one
-// of them half as fast, 41 in 100 calls waited, and 27 this way.
+// Extra cost of the last free slots, as a multiple of the service's mean slot
+// time: other daemons send calls there at the same time, and a call that finds
+// no free slot waits. As a multiple of the upstream's own slot time it kept
+// fast upstreams full while a slow one had a third of its slots free: with
+// three upstreams, one of them half as fast, at 0.88 of their capacity 41 in
+// 100 calls waited; with the mean slot time 27 did.
 constexpr double contention_weight = 0.5;
-// No more is added beyond this share: upstreams that are all full differ by
+// The extra cost doesn't grow beyond this utilization: full upstreams differ by
 // their queues alone.
 constexpr double max_contended_utilization = 0.95;
 constexpr double mean_slot_time_weight = 1.0 / 64;
-// Moves faster: a surge fills all upstreams within a second or two.
+// Larger than for the slot time: a surge fills all upstreams within a second or
+// two.
 constexpr double mean_utilization_weight = 1.0 / 16;
-// How fast an upstream is changes seldom; a cold one warms up in seconds.
+// The speed of an upstream rarely changes; a cold one warms up within seconds.
 constexpr double slot_time_half_life_seconds = 10;
-// Another data centre of the region: the way there and back, and a share of the
-// time that keeps calls near until six tenths of the near slots are taken. At a
-// tenth of the time, nine times as many bytes crossed data centres on a calm
-// day.
+// Penalty for another data centre: the round trip time within the region, and a
+// share of the slot time that keeps calls near until six tenths of the near
+// slots are in use. With a share of a tenth, nine times as many bytes crossed
+// data centres at normal load.
 constexpr double far_round_trip_seconds = 0.002;
 constexpr double far_slot_time_share = 0.6;
 
@@ -71,7 +74,7 @@
     return std::chrono::duration<double>(time).count();
 }
 
-// Zero of nothing; the higher of two.
+// The median, or the higher of the two middle values; 0 if there are none.
 double upper_median(std::vector<double>& values)
 {
     if (values.empty())
@@ -179,7 +182,7 @@
             return entries_[*chosen].handle;
         }
     }
-    // All refuse, as far as is known: the upstream itself decides.
+    // All refuse by their last known level: the upstream itself decides.
     const auto is_healthy = [&](const entry& each)
     {
         return usable(each, tried, now) && healthy(each, call.bulk, now);
@@ -215,8 +218,8 @@
         return each.upstream.distance == network_distance::same_data_center &&
                is_healthy(each);
     };
-    // Two of the near ones compete with two of all: two of all alone are both
-    // far in most draws.
+    // The better of two near upstreams competes with the better of two out of
+    // all, as two random ones out of all are both far in most cases.
     const upstream_index near = best_of_two(call.bulk, now, engine, is_near);
     const upstream_index chosen =
         best_of_two(call.bulk, now, engine, is_healthy);
@@ -272,7 +275,8 @@
     std::span<const upstream_handle> tried,
     time_point now)
 {
-    // The probe may fail: a call that can be tried again loses nothing.
+    // The probe may fail, so only a short idempotent call is used: it can be
+    // retried.
     if (!call.repeatable || call.bulk)
     {
         return std::nullopt;
@@ -288,8 +292,8 @@
     return std::nullopt;
 }
 
-// What is known of an upstream now: its own word as far as that is recent, and
-// the mean of the service's other words for the rest.
+// Estimates the present load of an upstream: its last report, blended into the
+// mean over the service's reports as it becomes older.
 router::load_estimate
 router::estimate_load(const entry& each, time_point now) const
 {
@@ -323,8 +327,8 @@
         slots};
 }
 
-// The expected time of one more call there, in seconds; nothing where no
-// upstream of the service has told its load.
+// Expected time of one more call there in seconds, from load reports; none if
+// no upstream of the service has reported its load.
 std::optional<double>
 router::reported_cost(const entry& each, bool bulk, time_point now) const
 {
@@ -342,9 +346,10 @@
         expected, seconds(each.health.time_without_progress(bulk, now)));
 }
 
-// What it costs to take one of the last slots, in mean times of a call. The
-// exponent is that of the usual approximation of the wait at many servers: of
-// 72 slots the sixtieth still finds others free, of 8 the seventh hardly.
+// Cost of using one of the last free slots, as a multiple of the mean slot
+// time. The exponent is that of Sakasegawa's approximation of the wait at many
+// servers: the 60th of 72 slots still leaves others free, the 7th of 8 hardly
+// does.
 double router::contention_cost(double utilization, double slots)
 {
     const double contended = std::min(utilization, max_contended_utilization);
@@ -353,7 +358,7 @@
            (1.0 - contended);
 }
 
-// What the distance adds to the expected time, in seconds.
+// Penalty of the distance in seconds, added to the expected time.
 double router::distance_cost(const entry& each, double slot_time) const
 {
     const bool near =
@@ -387,7 +392,8 @@
 router::upstream_index router::best_of_two(
     bool bulk, time_point now, random_engine& engine, const Accept& accept)
 {
-    // Two of those accepted, by reservoir sampling: no list is built.
+    // Draws two of the accepted upstreams by reservoir sampling, without
+    // building a list.
     std::array<std::size_t, 2> sample{};
     std::size_t seen = 0;
     for (std::size_t index = 0; index < entries_.size(); ++index)
@@ -499,8 +505,9 @@
         }
         return;
     }
-    // Where upstreams tell their load a slow one gets less by its time alone:
-    // without it a full service would lose what it still can do.
+    // If upstreams report their load, a slow one gets fewer calls because of
+    // its expected time, and isn't ejected: a full service would lose its
+    // remaining capacity.
     if (how == upstream_health::ending::answer && options_.near_first)
     {
         eject_if_slow(one, bulk, now);
@@ -583,7 +590,7 @@
     const double own = suspect.health.latency(bulk);
     double& mean = mean_latency_[bulk ? 1 : 0];
     mean = mean == 0 ? own : mean + (own - mean) * mean_latency_weight;
-    // The median is looked up only for those that may lie far above it.
+    // The median is computed only for upstreams that may be far above it.
     if (suspect.health.ejected() || own < min_slow_seconds ||
         own < mean * median_check_factor)
     {
--- a/nutmegusher/policy/router.hpp
+++ b/nutmegusher/policy/router.hpp
@@ -1,4 +1,4 @@
-// Which upstream of a service gets a call.
+// Chooses the upstream of a service that gets a call.
 //
 //     router route;
 //     route.update(candidates, now);
@@ -7,22 +7,25 @@
 //         route.on_start(*chosen, call.bulk, now);
 //         send_to(route.host(*chosen));
 //     }
-//     route.on_answer(*chosen, call.bulk, elapsed, now);   // when it ends
+//     route.on_answer(*chosen, call.bulk, elapsed, now);   // when answered
 //
-// Pattern of load: one upstream of several is slow, stalled or silent, and its
-// health endpoint says that all is well. Round robin goes on sending it its
-// share, and each of these calls waits for its deadline.
+// Pattern of load: one upstream of several is slow, stalled or unresponsive,
+// while its health endpoint reports it healthy. Round robin keeps sending it
+// its share of the calls, and each of them waits until its deadline.
 //
-// - Near first: the nearest data centre that has an upstream which takes the
-//   call; a farther one only for what the near ones refuse, so that a local
-//   surge doesn't turn into traffic between data centres for all.
-// - Of two random ones, the one with the shorter expected wait: all daemons
-//   choosing the one best would overrun it.
-// - One that fails three times in a row, goes silent, or answers much more
-//   slowly than the median of the others is ejected; single calls win it
-//   back. At most half of a service is ejected, and none while half of the
-//   others fail as well: a fault behind the service, or one seen only from
-//   here, doesn't leave it without upstreams.
+// - Nearest first: a call goes to the nearest distance at which an upstream
+//   admits it. Farther upstreams get only the calls that the near ones refuse,
+//   so that a local surge doesn't cause traffic between data centres for all
+//   calls.
+// - Power of two choices: of two random upstreams, the one with the shorter
+//   expected wait gets the call. If all daemons chose the best upstream, they
+//   would overload it.
+// - Outlier ejection: an upstream is ejected if it fails three times in a row,
+//   becomes unresponsive, or is much slower than the median of the others.
+//   Half-open probes (single calls) readmit it. At most half of a service is
+//   ejected, and none while half of the other upstreams fail as well: a fault
+//   of a downstream service, or one on the side of this daemon, doesn't leave
+//   the service without upstreams.
 #ifndef NUTMEGUSHER_POLICY_ROUTER_HPP
 #define NUTMEGUSHER_POLICY_ROUTER_HPP
 
@@ -44,7 +47,7 @@
 namespace nutmegusher
 {
 
-// How far away an upstream is.
+// Network distance from this daemon to an upstream.
 enum class network_distance : std::uint8_t
 {
     same_data_center,
@@ -52,18 +55,19 @@
     other_region
 };
 
-// One upstream of the service, as membership knows it.
+// One upstream of the service, as listed by membership.
 struct candidate
 {
     host_id host;
     network_distance distance = network_distance::same_data_center;
-    // It gets no new call.
+    // The upstream is shutting down and gets no new calls.
     bool leaving = false;
-    // Another one after each start of the upstream's process; 0: not told.
+    // Identifies the start of the upstream's process; differs after each
+    // restart. 0: not reported.
     std::uint64_t start = 0;
 };
 
-// For the state dump.
+// State of one upstream, for the state dump.
 struct upstream_state
 {
     upstream_handle handle;
@@ -74,26 +78,29 @@
     bool leaving = false;
 };
 
-// An upstream's own word on its load, as it came with an answer.
+// The load report of an upstream, received with an answer.
 struct upstream_load
 {
     std::size_t running = 0;
     std::size_t waiting = 0;
     std::size_t slots = 0;
-    // How long a call of its kind holds a slot there.
+    // Slot time: how long a call of this kind occupies a slot there.
     duration slot_time{0};
-    // Of its answers lately, the share that are its own errors: `error_meter`.
+    // Share of its recent answers that are its own errors, in [0, 1]; see
+    // `error_meter`.
     double errors = 0;
 };
 
 struct router_options
 {
-    // False: the upstream with the shortest expected time gets the call,
-    // wherever it stands; a far one counts as a little slower. For services
-    // whose upstreams tell their load. Pattern of load: the data centres'
-    // shares of the calls and of the upstreams differ, and one of three
-    // upstreams is half as fast as the others. Near first kept that one at
-    // twice its slots while the others had a third of theirs in use.
+    // True: nearest first. False: the upstream with the shortest expected time
+    // gets the call at any distance, with a small penalty for far ones. For
+    // services whose upstreams report their load.
+    //
+    // Pattern of load: calls and upstreams are distributed differently over the
+    // data centres, and one of three upstreams is half as fast as the others.
+    // With nearest first that one had calls for twice its slots, while the
+    // others had a third of theirs in use.
     bool near_first = true;
 };
 
@@ -102,81 +109,87 @@
 public:
     explicit router(router_options options = {});
 
-    // Takes over the list; what was observed of hosts that stay is kept. A
-    // host that comes back after having left, or whose upstream has started
-    // again, starts afresh: errors, times and calls in work of the earlier
-    // start say nothing of the later one.
+    // Replaces the list of upstreams; observations of hosts that stay are kept.
+    // A host that had been removed, or whose upstream has restarted, gets a new
+    // handle without observations: errors, latencies and calls in flight of the
+    // earlier start don't apply to the later one.
     void update(std::span<const candidate> candidates, time_point now);
 
-    // The upstream for the call, without those in `tried`. None where all
-    // were tried or are leaving.
+    // Chooses the upstream for the call, excluding those in `tried`. None if
+    // all were tried, are leaving, or are excluded by `on_address_reused`.
     [[nodiscard]] std::optional<upstream_handle> choose(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now,
         random_engine& engine);
 
-    // After this long without an answer a repeatable call is better given up
-    // there and tried elsewhere: others answer in a quarter of it. None where
-    // nothing is known of others. Costs a token as any retry.
+    // Time without an answer after which an idempotent call should be abandoned
+    // at this upstream and retried at another one: four times the median
+    // latency of the others, but at least 50 ms. None if no latency of others
+    // is known. The retry costs a token like any other.
     [[nodiscard]] std::optional<duration>
     try_timeout(upstream_handle at, bool bulk) const;
 
-    // Whether that is true now: another upstream takes the call, and none of
-    // the service refuses anything. Where one does, slowness is load, and what
-    // is given up half done would be done again.
+    // Whether a call should be retried at another upstream after `try_timeout`:
+    // another upstream admits it, and no upstream of the service refuses any
+    // calls. If one does, the call is slow because the service is overloaded,
+    // and abandoning it half done would repeat its work.
     [[nodiscard]] bool should_try_elsewhere(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
 
-    // Whether an upstream outside of `tried` would take the call now, as far
-    // as levels and observations tell.
+    // Whether an upstream outside of `tried` would admit the call now, judging
+    // by reported admission levels and observed health.
     [[nodiscard]] bool has_alternative(
         const call_facts& call,
         std::span<const upstream_handle> tried,
         time_point now) const;
 
-    // A call was sent there. Each is followed by exactly one of the next
-    // five. Handles that have gone change nothing.
+    // A call was sent to the upstream. Requires: exactly one of the following
+    // six is called when it ends. Handles of removed upstreams are ignored by
+    // all of them.
     void on_start(upstream_handle to, bool bulk, time_point now);
-    // A whole answer came.
+    // A complete answer arrived after `elapsed`.
     void on_answer(
         upstream_handle from, bool bulk, duration elapsed, time_point now);
-    // It failed: no connection, a broken answer, an error of the upstream, or
-    // no answer by the deadline.
+    // The call failed: no connection, a broken answer, an error of the
+    // upstream, or no answer by the deadline.
     void on_failure(upstream_handle from, bool bulk, time_point now);
-    // Its connection has gone silent: not even a ping is answered.
+    // The connection became unresponsive: pings aren't answered either.
     void on_silent(upstream_handle from, bool bulk, time_point now);
-    // It ended without a word on the upstream's health: cancelled, refused.
+    // The call ended without saying anything about the upstream's health: it
+    // was cancelled or refused.
     void on_neutral(upstream_handle from, bool bulk, time_point now);
-    // It refused because it leaves: it gets no new call, before membership
-    // tells. Without this each call to it costs a retry, and the budget of
-    // retries is gone before the news arrives.
+    // The upstream refused the call because it is shutting down. It gets no new
+    // calls, even before membership reports this. Otherwise each call to it
+    // would cost a retry, and the retry budget would be spent before the report
+    // arrives.
     void on_leaving(upstream_handle from, bool bulk, time_point now);
-    // Another upstream answered at its address. It gets no call until `update`
-    // brings another address or start of it, or for `reused_address_retention`,
-    // whichever comes first. Without this each call to it is a try in vain.
+    // Another upstream answered at its address. It gets no calls until `update`
+    // lists another address or start of it, or for `reused_address_retention`,
+    // whichever is shorter. Otherwise each call to it would be a failed try.
     void on_address_reused(upstream_handle from, bool bulk, time_point now);
 
-    // Membership drops a host that is gone after three missed renewals of two
-    // seconds; should the host be right after all, it is asked again then.
+    // Membership drops a host after three missed lease renewals of two seconds
+    // each. If the host is still listed by then, it gets calls again.
     static constexpr duration reused_address_retention =
         std::chrono::seconds(6);
 
-    // The upstream's own word on its load that came with an answer.
+    // A load report arrived with an answer.
     void
     on_load(upstream_handle from, const upstream_load& load, time_point now);
 
-    // The upstream's own admission level that came with an answer.
+    // The admission level of the upstream arrived with an answer.
     void on_level(
         upstream_handle from, const admission_level& level, time_point now);
 
-    // What the service as a whole lets in: lane by lane the median of its
-    // upstreams' levels (one that said nothing of late lets everything in).
+    // The admission level of the whole service: per lane the median of its
+    // upstreams' levels. An upstream without a recent level counts as admitting
+    // everything.
     [[nodiscard]] admission_level service_level(time_point now) const;
 
-    // Null where the handle has gone.
+    // Null if the upstream of the handle was removed.
     [[nodiscard]] const host_id* host(upstream_handle of) const;
 
     [[nodiscard]] std::vector<upstream_state> state() const;
@@ -188,13 +201,13 @@
         candidate upstream;
         internal::upstream_health health;
         internal::reported_error_rate errors;
-        // It said that it leaves; membership hasn't told yet.
+        // No calls until then; see `on_leaving` and `on_address_reused`.
         time_point excluded_until;
-        // Until then it gets less work: see `slow_start_duration`.
+        // Gets fewer calls until then; see `slow_start_duration`.
         time_point slow_start_until;
         upstream_load load;
         time_point load_received_at;
-        // Calls sent there since it told its load.
+        // Calls sent there since its last load report.
         std::size_t sent_since_report = 0;
     };
 
@@ -222,9 +235,9 @@
     distance_cost(const entry& each, double slot_time) const;
     struct load_estimate
     {
-        // Seconds that a call holds a slot.
+        // Slot time of a call in seconds.
         double slot_time = 0;
-        // Slots in use or asked for, over slots there are.
+        // Running and waiting calls over slots; above 1 if calls wait.
         double utilization = 0;
         double slots = 0;
     };
@@ -252,24 +265,26 @@
 
     router_options options_;
     std::vector<entry> entries_;
-    // Room for the medians.
+    // Scratch space for medians.
     mutable std::vector<double> scratch_;
-    // Over all upstreams' moving means, by lane.
+    // Moving average over the latencies of all upstreams, by lane.
     std::array<double, 2> mean_latency_{};
     std::uint64_t last_handle_ = 0;
-    // How long calls hold a slot, over all upstreams' words; seconds.
+    // Moving average of the slot time over the load reports of all upstreams,
+    // in seconds; 0: no report yet.
     double mean_slot_time_ = 0;
-    // Slots in use or asked for over slots there are, likewise.
+    // Moving averages of the utilization and of the number of slots over the
+    // same reports.
     double mean_utilization_ = 0;
     double mean_slots_ = 0;
-    // Calls sent to all upstreams.
+    // Number of calls sent to all upstreams.
     std::uint64_t calls_sent_ = 0;
 };
 
-// What lies ahead of calls of an answered call's class: the stricter of the
-// service's level in the call's lane and of what the answer tells of deeper
-// services. Both lanes of the result are the same, as a long transfer may
-// need short calls further down.
+// The admission level along the call path of an answered call's class: the
+// stricter of the service's level in the call's lane and of the level that the
+// answer reports for services further down. Both lanes of the result are the
+// same, as a bulk call may need short sub-calls.
 [[nodiscard]] admission_level call_path_level(
     const router& route,
     const answer_levels& levels,
--- a/nutmegusher/policy/router_at_size_test.cpp
+++ b/nutmegusher/policy/router_at_size_test.cpp
@@ -1,8 +1,9 @@
-// A large service and many daemons of which each makes few calls: what one
-// daemon hears of one upstream is seconds old when it is needed next.
+// A large service and many daemons that each make few calls, so that a load
+// report is seconds old when a daemon needs it. Guards against routing that
+// gets worse with the number of daemons.
 //
-// Each daemon keeps its own router over the twenty upstreams that it knows.
-// An upstream's word comes with its answers only, as between processes.
+// Each daemon has its own router over the twenty upstreams that it knows. Load
+// reports arrive with answers only, as between processes.
 #include "nutmegusher/policy/router.hpp"
 
 #include <gtest/gtest.h>
@@ -25,10 +26,10 @@
 constexpr std::size_t known_upstreams = 20;
 constexpr std::size_t known_far = 5;
 constexpr std::size_t slots = 72;
-// How fast upstreams are, in turn.
+// Relative speeds of the upstreams, assigned in rotation.
 constexpr std::array speeds{0.5, 1.0, 1.0, 1.5};
 constexpr double work_seconds = 0.55;
-// What a call waits for below its upstream, while it holds the slot.
+// How long a call waits for its sub-calls while it occupies its slot.
 constexpr double sub_call_seconds = 1.5;
 constexpr double target_seconds = 2.5;
 constexpr double slot_time_weight = 1.0 / 8;
@@ -71,8 +72,8 @@
         }
     }
 
-    // Of the calls that end within the time. `load`: the part of the slot time
-    // that calls ask for.
+    // Simulates `seconds` and returns the share of ended calls that met the
+    // target. `load`: offered load as a share of the capacity of all slots.
     double share_in_time(double load, double seconds)
     {
         const double mean_slot_time =
@@ -207,16 +208,16 @@
 constexpr std::size_t few_daemons = 15;
 constexpr std::size_t upstreams_at_size = 96;
 constexpr double simulated_seconds = 40;
-// As much as the users allow one measurement to differ from another.
+// The difference between two measurements that the users tolerate.
 constexpr double tolerance = 0.03;
 
 class router_at_size : public ::testing::TestWithParam<double>
 {
 };
 
-// With many daemons each hears of an upstream every few seconds, with few
-// several times a second. Where a word counted for one second only, 0.911 of
-// the calls were in time with many daemons and 0.939 with few.
+// With many daemons each gets a report of an upstream every few seconds, with
+// few several times a second. When a load report counted for one second only,
+// 0.911 of the calls met the target with many daemons and 0.939 with few.
 TEST_P(router_at_size, many_daemons_place_calls_as_well_as_few)
 {
     double few = 0;
--- a/nutmegusher/policy/router_balance_test.cpp
+++ b/nutmegusher/policy/router_balance_test.cpp
@@ -1,5 +1,6 @@
-// Callers that share three upstreams, one of them half as fast as the others,
-// at most of what the three can do.
+// Several callers share three upstreams, one of them half as fast as the
+// others, close to their total capacity. Guards against one upstream being
+// filled while others have free slots.
 #include "nutmegusher/policy/router.hpp"
 
 #include <gtest/gtest.h>
@@ -74,7 +75,7 @@
         simulated_seconds_ = seconds_of(now_ - begin);
     }
 
-    // The share of its slots that were in use.
+    // The average share of each upstream's slots that was in use.
     [[nodiscard]] std::array<double, upstream_count> utilization() const
     {
         std::array<double, upstream_count> shares{};
@@ -105,7 +106,7 @@
         double busy_seconds = 0;
     };
 
-    // Four data centres with three callers each, three of them with an
+    // Four data centres with three callers each; three of them have an
     // upstream.
     static std::array<candidate, upstream_count>
     candidates_of(std::size_t caller)
--- a/nutmegusher/policy/router_by_time_test.cpp
+++ b/nutmegusher/policy/router_by_time_test.cpp
@@ -1,5 +1,5 @@
-// Choosing by the upstreams' own word: data centres with unequal shares, and
-// one upstream of three that is less than half as fast.
+// Routing by the load reports of upstreams: data centres with unequal load, and
+// one of three upstreams less than half as fast as the others.
 #include "nutmegusher/policy/router.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,8 @@
         route.update(all, now);
     }
 
-    // Tells the loads and counts where a thousand calls would go.
+    // Reports the loads (running and waiting calls per upstream) and counts how
+    // many of 1,000 calls each upstream would get.
     std::array<int, 3> shares(
         const std::array<std::size_t, 3>& calls, duration slow_slot_time = 44ms)
     {
@@ -83,8 +84,8 @@
     EXPECT_GT(counts[0], 600);
 }
 
-// Two upstreams of 72 slots and one that is a third slower: at eight tenths a
-// call still finds a slot free at once in the faster ones.
+// Two upstreams of 72 slots and one that is a third slower: at a utilization of
+// 0.8 a call still finds a free slot at once on the faster ones.
 TEST_F(
     routing_by_expected_time,
     a_slow_one_is_spared_until_large_ones_are_nearly_full)
@@ -108,12 +109,12 @@
     EXPECT_EQ(to_slow, 0);
 }
 
-// One upstream of three fails half of its calls at once, and has the shortest
-// queue for it; calls come at 500 a second.
+// One of three upstreams fails half of its calls immediately, and therefore has
+// the shortest queue; there are 500 calls a second.
 class routing_with_one_failing_upstream : public routing_by_expected_time
 {
 protected:
-    // Calls that went to the failing one within the time.
+    // Returns how many calls went to the failing upstream within the time.
     int simulate(duration length)
     {
         int failing = 0;
--- a/nutmegusher/policy/router_leaving_test.cpp
+++ b/nutmegusher/policy/router_leaving_test.cpp
@@ -28,7 +28,7 @@
     route.on_leaving(*first, false, clock.now());
     for (int i = 0; i < 100; ++i)
     {
-        // Membership lags: it still calls the upstream a serving one.
+        // Membership lags: it still lists the upstream as serving.
         route.update(both, clock.now());
         const auto next = route.choose(call, {}, clock.now(), engine);
         ASSERT_TRUE(next);
@@ -69,7 +69,8 @@
     EXPECT_EQ(choose(), host_id("gone")) << "it has started again";
 }
 
-// It was slow and had failed; its next start is judged afresh.
+// An upstream that failed and was ejected restarts. Guards against failures and
+// late answers of the earlier start being counted for the new one.
 TEST(router, a_restarted_upstream_does_not_inherit_earlier_failures)
 {
     manual_clock clock;
--- a/nutmegusher/policy/router_test.cpp
+++ b/nutmegusher/policy/router_test.cpp
@@ -16,7 +16,7 @@
 class routing : public testing::Test
 {
 protected:
-    // `near` upstreams in this data centre, then `far` ones.
+    // Lists `near` upstreams in this data centre, then `far` ones in another.
     void set_up(std::size_t near, std::size_t far)
     {
         candidates.clear();
@@ -37,7 +37,8 @@
         return route.choose(call, {}, clock.now(), engine);
     }
 
-    // How often each host is chosen and answers in `latency`.
+    // Makes calls that are all answered after `latency`. Returns how often each
+    // host was chosen.
     std::map<std::string, int> run(int calls, duration latency)
     {
         std::map<std::string, int> chosen;
--- a/nutmegusher/policy/upstream_health.cpp
+++ b/nutmegusher/policy/upstream_health.cpp
@@ -10,23 +10,24 @@
 
 constexpr double latency_weight = 1.0 / 8;
 
-// One failure may be the call's own, two a coincidence.
+// One failure may be due to the call itself, two to coincidence.
 constexpr std::size_t failures_to_eject = 3;
 
-// The first probe comes within a quarter of the second in which service has
-// to be back; a longer trouble is probed ever more seldom.
+// Service must be restored within a second: the first probe follows after a
+// quarter of that. Longer failures are probed with exponential backoff.
 constexpr duration first_ejection = std::chrono::milliseconds(250);
 constexpr std::size_t max_doublings = 5;
 
-// As at the upstream itself: see `concurrency_limit`.
+// Same criteria as at the upstream itself: see `concurrency_limit`.
 constexpr double stall_latencies = 4;
 constexpr double min_stall_seconds = 0.05;
 constexpr std::size_t stall_in_flight = 2;
 
-// Twice the memory of the meters behind a level; an older one says nothing.
+// Twice as long as the meters behind a level look back; an older level is
+// outdated.
 constexpr duration level_lifetime = std::chrono::milliseconds(500);
 
-// Before the first answer, an upstream costs as much as a fast one.
+// Assumed before the first answer: the latency of a fast upstream.
 constexpr double default_latency = 0.001;
 
 } // namespace
@@ -107,7 +108,7 @@
     ejected_ = false;
     ejections_in_row_ = 0;
     failures_in_row_ = 0;
-    // What was learned while it was slow would send it no work.
+    // Latencies averaged while it was slow would keep all calls away.
     lanes_[0].latency = 0;
     lanes_[1].latency = 0;
 }
--- a/nutmegusher/policy/upstream_health.hpp
+++ b/nutmegusher/policy/upstream_health.hpp
@@ -1,4 +1,5 @@
-// What one daemon has seen of one upstream that it calls.
+// The health of one upstream as observed by one daemon that calls it: calls in
+// flight, latency, failures and ejection, and the admission level reported.
 #ifndef NUTMEGUSHER_POLICY_UPSTREAM_HEALTH_HPP
 #define NUTMEGUSHER_POLICY_UPSTREAM_HEALTH_HPP
 
@@ -13,7 +14,7 @@
 namespace nutmegusher
 {
 
-// Names one upstream within one router; never used again for another.
+// Identifies one upstream within one router; never reused for another.
 using upstream_handle = number<struct upstream_handle_tag>;
 
 } // namespace nutmegusher
@@ -21,26 +22,27 @@
 namespace nutmegusher::internal
 {
 
-// Short and bulk calls of one upstream are observed apart.
+// Observations of one lane of an upstream: its short or its bulk calls.
 struct lane_observation
 {
     std::size_t in_flight = 0;
-    // Moving mean of answers, seconds; 0: none seen yet.
+    // Exponential moving average of the answers' latency in seconds; 0: no
+    // answer yet.
     double latency = 0;
-    // When a call last ended, or the first of those in flight started.
+    // When a call last ended, or when the first of those in flight started.
     time_point last_progress;
 };
 
 class upstream_health
 {
 public:
-    // How a call ended, as far as the upstream's health goes.
+    // How a call ended, as evidence of the upstream's health.
     enum class ending : std::uint8_t
     {
         answer,
         failure,
         silence,
-        // Says nothing: the caller went away, or the call was refused.
+        // No evidence: the caller cancelled, or the call was refused.
         neutral
     };
 
@@ -48,7 +50,8 @@
     void on_end(bool bulk, ending how, duration elapsed, time_point now);
     void on_level(const admission_level& level, time_point now);
 
-    // Gives it no work for a time that doubles with each ejection in a row.
+    // Ejects the upstream for a time that doubles with each consecutive
+    // ejection.
     void eject(time_point now);
 
     [[nodiscard]] bool ejected() const
@@ -56,45 +59,50 @@
         return ejected_;
     }
 
-    // Ejected, its time is over, and no probe runs.
+    // Whether the ejection time has passed and no half-open probe is running.
     [[nodiscard]] bool probe_due(time_point now) const;
 
-    // The next call is the probe.
+    // Marks the next call as the half-open probe.
     void begin_probe();
 
-    // Calls run there, and none has ended for much longer than usual.
+    // Whether calls are in flight and none has ended for much longer than the
+    // usual latency.
     [[nodiscard]] bool stalled(bool bulk, time_point now) const;
 
-    // How long calls have been in flight there without any end; zero where
-    // none is.
+    // Time since a call last ended while others are in flight; zero if none is
+    // in flight.
     [[nodiscard]] duration
     time_without_progress(bool bulk, time_point now) const;
 
-    // Failed too often in a row.
+    // Whether enough consecutive calls failed for an ejection.
     [[nodiscard]] bool failing() const;
 
-    // Its last call failed.
+    // Whether its last call failed.
     [[nodiscard]] bool failed_last() const
     {
         return failures_in_row_ > 0;
     }
 
-    // Whether its last level, if that is recent, lets the call in.
+    // Whether its last reported admission level admits the call; true if that
+    // level has expired.
     [[nodiscard]] bool accepts(const call_facts& call, time_point now) const;
 
-    // Whether its last level, if that is recent, refuses anything.
+    // Whether its last reported admission level refuses any calls; false if
+    // that level has expired.
     [[nodiscard]] bool refuses_any(time_point now) const;
 
-    // Its last level if that is recent; otherwise one that refuses nothing.
+    // Its last reported admission level; one that refuses nothing if that has
+    // expired.
     [[nodiscard]] admission_level level(time_point now) const
     {
         return now < level_until_ ? level_ : admission_level{};
     }
 
-    // Expected wait of one more call, in seconds; lower is better.
+    // Expected waiting time of one more call, in seconds; lower is better.
     [[nodiscard]] double cost(bool bulk) const;
 
-    // Moving mean of answers, seconds; 0: none seen yet.
+    // Exponential moving average of the answers' latency in seconds; 0: no
+    // answer yet.
     [[nodiscard]] double latency(bool bulk) const
     {
         return lanes_[index_of(bulk)].latency;
