--- a/nutmegusher/policy/error_meter.hpp
+++ b/nutmegusher/policy/error_meter.hpp
@@ -7,8 +7,8 @@
 // Pattern of load: one upstream of a service quickly fails part of its calls,
 // while its health endpoint reports it healthy. Failing takes no time, so it
 // looks like the least loaded upstream and attracts calls from the others. If a
-// request needs four calls of the service, one failing upstream of five causes
-// six requests in ten to fail.
+// request needs four calls of the service, one failing upstream of five
+// affects six requests in ten.
 //
 // The daemon beside the upstream sees all of its answers, while each caller
 // sees only a few. So that daemon has the meter and reports its value with
