--- a/nutmegusher/policy/crash_evidence.hpp
+++ b/nutmegusher/policy/crash_evidence.hpp
@@ -85,8 +85,8 @@
 
 struct crash_evidence_options
 {
-    // A quarantine expires this long after the last crash. One more crash
-    // within the same time again renews it.
+    // A quarantine expires this long after the last crash. For as long again,
+    // one more crash renews it.
     duration quarantine = std::chrono::minutes(10);
     // A request that completed on this host within this time isn't suspected
     // there.
