--- a/nutmegusher/policy/retry_test.cpp
+++ b/nutmegusher/policy/retry_test.cpp
@@ -32,7 +32,7 @@
     random_engine engine{1};
 };
 
-TEST_F(retrying, goes_elsewhere_at_once)
+TEST_F(retrying, retries_at_another_upstream_at_once)
 {
     EXPECT_EQ(decide_retry(failed, engine), retry_decision(retry_at_once{}));
 }
@@ -46,7 +46,7 @@
     EXPECT_EQ(decide_retry(failed, engine), retry_decision(retry_at_once{}));
 }
 
-TEST_F(retrying, leaves_a_full_service_alone)
+TEST_F(retrying, does_not_retry_when_the_service_is_overloaded)
 {
     failed.how = try_failure::overload;
     failed.tries = 2;
@@ -56,7 +56,7 @@
     EXPECT_EQ(reason(), no_retry_reason::overloaded);
 }
 
-TEST_F(retrying, repeats_no_work_for_a_full_service_below)
+TEST_F(retrying, does_not_retry_when_a_deeper_service_is_overloaded)
 {
     failed.how = try_failure::overload_deeper;
     failed.certainly_not_run = true;
@@ -93,9 +93,10 @@
     EXPECT_FALSE(keys.is_repeated(1, clock.now()));
 }
 
-// A chain of any depth where every call fails with some chance, each hop
-// with the shipped split and decision: what is spent stays within what was
-// minted, and retries of the class within the ratio and what was saved.
+// A chain of random depth in which every call fails with some probability and
+// each hop uses the real split and decision. Guards against retries multiplying
+// in the chain: no request may spend more tokens than it was issued, and all
+// retries of the class must stay within the ratio and the accumulated balance.
 RC_GTEST_PROP(retry_chain, spends_no_more_than_was_issued, ())
 {
     random_engine engine(*rc::gen::arbitrary<std::uint64_t>());
@@ -104,7 +105,7 @@
     retry_budget budget;
     constexpr int requests = 300;
     std::uint64_t retries = 0;
-    // Returns what is left of `tokens`; `ok` tells how the call ended.
+    // Returns the remaining `tokens`; `ok` is set if the call succeeded.
     const auto call = [&](const auto& self,
                           int hop,
                           std::uint32_t tokens,
--- a/nutmegusher/policy/router_test.cpp
+++ b/nutmegusher/policy/router_test.cpp
@@ -16,7 +16,7 @@
 class routing : public testing::Test
 {
 protected:
-    // `near` upstreams in this data centre, then `far` ones.
+    // Lists `near` upstreams in this data centre, then `far` ones in another.
     void set_up(std::size_t near, std::size_t far)
     {
         candidates.clear();
@@ -37,7 +37,8 @@
         return route.choose(call, {}, clock.now(), engine);
     }
 
-    // How often each host is chosen and answers in `latency`.
+    // Makes calls that are all answered after `latency`. Returns how often each
+    // host was chosen.
     std::map<std::string, int> run(int calls, duration latency)
     {
         std::map<std::string, int> chosen;
@@ -148,7 +149,7 @@
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(routing, gives_a_leaving_upstream_nothing)
+TEST_F(routing, sends_no_calls_to_a_leaving_upstream)
 {
     set_up(3, 0);
     candidates[1].leaving = true;
