--- a/nutmegusher/policy/admission_lane.cpp
+++ b/nutmegusher/policy/admission_lane.cpp
@@ -335,8 +335,8 @@
             {expired->info.ticket,
              refuse(expired->info, refusal_reason::overload, now, engine)});
     }
-    const std::size_t most = std::min(limit_.value(), cap);
-    while (running_.size() < most)
+    const std::size_t max_running = std::min(limit_.value(), cap);
+    while (running_.size() < max_running)
     {
         const auto next = queue_.pop();
         if (!next)
--- a/nutmegusher/policy/entry_gate.cpp
+++ b/nutmegusher/policy/entry_gate.cpp
@@ -187,9 +187,9 @@
 void entry_gate::cut(class_gate& gate, double share)
 {
     const double passing = std::min(gate.limit, gate.passed_mean);
-    const double least = gate.offered_mean * min_open_share;
+    const double min_limit = gate.offered_mean * min_open_share;
     gate.limit = std::max(
-        passing * std::max(share + overload_margin, min_cut_factor), least);
+        passing * std::max(share + overload_margin, min_cut_factor), min_limit);
     gate.quiet_intervals = 0;
     gate.just_cut = true;
 }
--- a/nutmegusher/policy/shed_control_test.cpp
+++ b/nutmegusher/policy/shed_control_test.cpp
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 
 // A service with 93 slots and calls of 20 ms, in steps of a millisecond.
-class deep_service
+class saturated_service
 {
 public:
     // One step at the given request rate; `entries_shed`: whether entries shed
@@ -118,7 +118,7 @@
 // A load of 465 requests a second would use exactly all slots.
 TEST(shed_control, a_burst_of_twice_the_slots_is_brought_back_to_them)
 {
-    deep_service service;
+    saturated_service service;
     for (int i = 0; i < 4000; ++i)
     {
         service.step(930, true);
@@ -138,7 +138,7 @@
 
 TEST(shed_control, without_it_the_queue_only_grows)
 {
-    deep_service service;
+    saturated_service service;
     for (int i = 0; i < 4000; ++i)
     {
         service.step(930, false);
@@ -148,7 +148,7 @@
 
 TEST(shed_control, the_level_falls_within_three_seconds_after_the_burst)
 {
-    deep_service service;
+    saturated_service service;
     for (int i = 0; i < 6000; ++i)
     {
         service.step(930, true);
@@ -166,7 +166,7 @@
 // left idle.
 TEST(shed_control, recovers_throughput_after_entries_ignored_the_level)
 {
-    deep_service service;
+    saturated_service service;
     for (int i = 0; i < 2000; ++i)
     {
         service.step(930, false);
@@ -186,7 +186,7 @@
 
 TEST(shed_control, a_service_with_room_turns_nothing_away)
 {
-    deep_service service;
+    saturated_service service;
     for (int i = 0; i < 5000; ++i)
     {
         service.step(350, true);
--- a/nutmegusher/policy/shed_table.cpp
+++ b/nutmegusher/policy/shed_table.cpp
@@ -8,12 +8,12 @@
 void shed_table::record(
     std::uint64_t call_path, const shed_level& from, time_point now)
 {
-    auto& known = levels_[from.service];
-    const bool fresh = now - known.at < level_lifetime;
-    known.level = fresh
-                      ? known.level + (from.level - known.level) * sample_weight
+    auto& entry = levels_[from.service];
+    const bool fresh = now - entry.at < level_lifetime;
+    entry.level = fresh
+                      ? entry.level + (from.level - entry.level) * sample_weight
                       : from.level;
-    known.at = now;
+    entry.at = now;
     path_services_[{call_path, from.service}] = now;
 }
 
--- a/nutmegusher/policy/slot_queue.hpp
+++ b/nutmegusher/policy/slot_queue.hpp
@@ -163,7 +163,7 @@
     refuse(refusal_reason reason, const call_info& call, time_point now);
     void start(const call_info& call, time_point now);
     void admit_waiting(time_point now);
-    void record_slot_time(std::uint64_t work_class, duration held);
+    void record_slot_time(std::uint64_t work_class, duration slot_time);
     void update_shed(time_point now);
     [[nodiscard]] bool makes_sub_calls(time_point now) const;
     void update_limit(time_point now);
--- a/nutmegusher/policy/slow_start_test.cpp
+++ b/nutmegusher/policy/slow_start_test.cpp
@@ -15,84 +15,84 @@
     static constexpr int first = static_cast<int>(slow_start::initial_window);
 
     // Offers `waiting` requests of the rank; returns how many are admitted.
-    int let_in(std::uint8_t rank, int waiting)
+    int admit_waiting(std::uint8_t rank, int waiting)
     {
         int in = 0;
         for (int i = 0; i < waiting; ++i)
         {
-            one.wait(rank);
-            in += one.enter(rank, now) ? 1 : 0;
-            one.leave(rank);
+            start_window.wait(rank);
+            in += start_window.enter(rank, now) ? 1 : 0;
+            start_window.leave(rank);
         }
         return in;
     }
 
     time_point now{std::chrono::hours(1)};
-    slow_start one{now};
+    slow_start start_window{now};
 };
 
 TEST_F(slow_start_test, begins_small_and_doubles_with_each_round_of_answers)
 {
-    int in = let_in(2, 100);
+    int in = admit_waiting(2, 100);
     EXPECT_EQ(in, first);
     for (const int next : {2 * first, 4 * first, 8 * first})
     {
         now += 200ms;
         for (int i = 0; i < in; ++i)
         {
-            one.on_answer(0, now);
+            start_window.on_answer(0, now);
         }
-        in = let_in(2, 1000);
+        in = admit_waiting(2, 1000);
         EXPECT_EQ(in, next);
     }
 }
 
 TEST_F(slow_start_test, a_high_level_shrinks_the_window)
 {
-    let_in(2, first);
+    admit_waiting(2, first);
     for (int i = 0; i < first; ++i)
     {
-        one.on_answer(0, now);
+        start_window.on_answer(0, now);
     }
-    EXPECT_EQ(let_in(2, 100), 2 * first);
+    EXPECT_EQ(admit_waiting(2, 100), 2 * first);
     for (int i = 0; i < 2 * first; ++i)
     {
-        one.on_answer(0.8, now);
+        start_window.on_answer(0.8, now);
     }
-    EXPECT_EQ(let_in(2, 100), first);
+    EXPECT_EQ(admit_waiting(2, 100), first);
 }
 
 TEST_F(slow_start_test, the_better_rank_goes_first)
 {
     for (int i = 0; i < 3; ++i)
     {
-        one.wait(0);
+        start_window.wait(0);
     }
-    EXPECT_EQ(let_in(2, 100), first - 3);
+    EXPECT_EQ(admit_waiting(2, 100), first - 3);
     for (int i = 0; i < 3; ++i)
     {
-        EXPECT_TRUE(one.enter(0, now));
-        one.leave(0);
+        EXPECT_TRUE(start_window.enter(0, now));
+        start_window.leave(0);
     }
 }
 
 TEST_F(slow_start_test, is_over_when_it_holds_nothing_back)
 {
-    EXPECT_EQ(let_in(2, 2), 2);
-    EXPECT_FALSE(one.is_over(now));
+    EXPECT_EQ(admit_waiting(2, 2), 2);
+    EXPECT_FALSE(start_window.is_over(now));
     now += 1100ms;
-    EXPECT_TRUE(one.is_over(now));
-    EXPECT_EQ(let_in(2, 100), 100);
+    EXPECT_TRUE(start_window.is_over(now));
+    EXPECT_EQ(admit_waiting(2, 100), 100);
 }
 
 TEST_F(slow_start_test, is_over_after_its_longest_time_whatever_comes)
 {
     for (int i = 0; i < 90; ++i)
     {
-        let_in(2, 100);
+        admit_waiting(2, 100);
         now += 100ms;
     }
-    EXPECT_TRUE(one.is_over(now));
+    EXPECT_TRUE(start_window.is_over(now));
 }
 
 } // namespace
--- a/nutmegusher/policy/sub_call_classifier.cpp
+++ b/nutmegusher/policy/sub_call_classifier.cpp
@@ -17,38 +17,38 @@
 void sub_call_classifier::record(
     std::uint64_t route, const service_name& caller)
 {
-    ++callers_[caller];
-    auto& known = by_route_[route];
-    if (known.main_caller == caller)
+    ++calls_by_caller_[caller];
+    auto& route_counts = by_route_[route];
+    if (route_counts.main_caller == caller)
     {
-        ++known.from_main;
+        ++route_counts.from_main;
     }
     else
     {
-        ++known.from_others;
+        ++route_counts.from_others;
     }
-    if (known.from_others > known.from_main)
+    if (route_counts.from_others > route_counts.from_main)
     {
-        known.main_caller = caller;
-        std::swap(known.from_others, known.from_main);
+        route_counts.main_caller = caller;
+        std::swap(route_counts.from_others, route_counts.from_main);
     }
-    if (known.from_main + known.from_others > max_count)
+    if (route_counts.from_main + route_counts.from_others > max_count)
     {
-        known.from_main /= 2;
-        known.from_others /= 2;
+        route_counts.from_main /= 2;
+        route_counts.from_others /= 2;
     }
 }
 
 bool sub_call_classifier::is_sub_call(std::uint64_t route) const
 {
     const auto found = by_route_.find(route);
-    if (found == by_route_.end() || callers_.size() < 2)
+    if (found == by_route_.end() || calls_by_caller_.size() < 2)
     {
         return false;
     }
-    const auto& known = found->second;
-    const auto all = known.from_main + known.from_others;
-    return all >= min_calls && static_cast<double>(known.from_others) <=
+    const auto& route_counts = found->second;
+    const auto all = route_counts.from_main + route_counts.from_others;
+    return all >= min_calls && static_cast<double>(route_counts.from_others) <=
                                    static_cast<double>(all) * max_other_share;
 }
 
--- a/nutmegusher/policy/sub_call_classifier.hpp
+++ b/nutmegusher/policy/sub_call_classifier.hpp
@@ -51,7 +51,7 @@
 
     std::unordered_map<std::uint64_t, counts> by_route_;
     // Calls by calling service, over all routes.
-    std::unordered_map<service_name, std::size_t> callers_;
+    std::unordered_map<service_name, std::size_t> calls_by_caller_;
 };
 
 } // namespace nutmegusher
