--- a/nutmegusher/policy/admission_lane.hpp
+++ b/nutmegusher/policy/admission_lane.hpp
@@ -58,9 +58,9 @@
         queue_outcomes& out);
 
     // See `concurrency_limit`.
-    void set_other_lane_dominates(bool hold)
+    void set_other_lane_dominates(bool dominates)
     {
-        limit_.set_other_lane_dominates(hold);
+        limit_.set_other_lane_dominates(dominates);
     }
 
     [[nodiscard]] bool take_contended()
--- a/nutmegusher/policy/concurrency_limit.hpp
+++ b/nutmegusher/policy/concurrency_limit.hpp
@@ -100,9 +100,9 @@
     // Tells whether the other lane holds most of the upstream's slots. While it
     // does, inflation doesn't lower this limit but marks it as contended, and
     // the other lane is to reduce its own.
-    void set_other_lane_dominates(bool hold)
+    void set_other_lane_dominates(bool dominates)
     {
-        other_lane_dominates_ = hold;
+        other_lane_dominates_ = dominates;
     }
 
     // Whether the limit was marked as contended since the last call; clears the
--- a/nutmegusher/policy/concurrency_limit_test.cpp
+++ b/nutmegusher/policy/concurrency_limit_test.cpp
@@ -68,7 +68,7 @@
     }
 }
 
-TEST(concurrency_limit, falls_when_the_upstream_loses_slots_and_comes_back)
+TEST(concurrency_limit, shrinks_when_the_upstream_loses_slots_and_recovers)
 {
     concurrency_limit limit;
     limit.on_shed(60, time_point());
@@ -80,7 +80,7 @@
     EXPECT_GE(limit.value(), 15U);
 }
 
-TEST(concurrency_limit, keeps_its_slots_when_slowness_comes_from_elsewhere)
+TEST(concurrency_limit, keeps_its_limit_when_latency_is_caused_elsewhere)
 {
     concurrency_limit limit;
     // With so many slots no call waits, so all inflation is caused elsewhere.
--- a/nutmegusher/policy/entry_gate_test.cpp
+++ b/nutmegusher/policy/entry_gate_test.cpp
@@ -80,7 +80,7 @@
     EXPECT_DOUBLE_EQ(under_test.open_share(1), 1.0);
 }
 
-TEST_F(gate, keeps_a_heavy_customer_from_the_others)
+TEST_F(gate, a_heavy_customer_does_not_affect_the_others)
 {
     for (int index = 0; index < 20; ++index)
     {
--- a/nutmegusher/policy/shed_control_test.cpp
+++ b/nutmegusher/policy/shed_control_test.cpp
@@ -136,7 +136,7 @@
     EXPECT_GT(per_second, 0.85 * 465);
 }
 
-TEST(shed_control, without_it_the_queue_only_grows)
+TEST(shed_control, without_shedding_the_queue_only_grows)
 {
     saturated_service service;
     for (int i = 0; i < 4000; ++i)
@@ -184,7 +184,7 @@
     EXPECT_GT(per_second, 0.85 * 420);
 }
 
-TEST(shed_control, a_service_with_room_turns_nothing_away)
+TEST(shed_control, a_service_with_spare_capacity_sheds_nothing)
 {
     saturated_service service;
     for (int i = 0; i < 5000; ++i)
@@ -194,7 +194,7 @@
     }
 }
 
-TEST(shed_table, ranks_are_turned_away_one_after_the_other)
+TEST(shed_table, ranks_are_shed_one_after_the_other)
 {
     EXPECT_FALSE(is_shed(0.0, 0, 0.0));
     EXPECT_TRUE(is_shed(0.5, 0, 0.4));
--- a/nutmegusher/policy/shed_shares_test.cpp
+++ b/nutmegusher/policy/shed_shares_test.cpp
@@ -28,34 +28,34 @@
         }
     }
 
-    [[nodiscard]] double total_share(double part) const
+    [[nodiscard]] double total_share(double shed_share) const
     {
-        return 0.9 * shares.share_of(browse, part, now) +
-               0.1 * shares.share_of(sign, part, now);
+        return 0.9 * shares.share_of(browse, shed_share, now) +
+               0.1 * shares.share_of(sign, shed_share, now);
     }
 
     time_point now{std::chrono::hours(1)};
     shed_shares shares;
 };
 
-TEST_F(shed_shares_test, a_class_is_turned_away_in_proportion_to_its_time)
+TEST_F(shed_shares_test, a_class_is_shed_in_proportion_to_its_time)
 {
     const double of_browse = shares.share_of(browse, 0.5, now);
     const double of_sign = shares.share_of(sign, 0.5, now);
     EXPECT_NEAR(of_browse / of_sign, 5.0, 0.1);
 }
 
-TEST_F(shed_shares_test, all_classes_together_lose_the_part_asked_for)
+TEST_F(shed_shares_test, all_classes_together_lose_the_requested_share)
 {
-    for (const double part : {0.1, 0.5, 0.9, 0.93, 0.97})
+    for (const double shed_share : {0.1, 0.5, 0.9, 0.93, 0.97})
     {
-        EXPECT_NEAR(total_share(part), part, 0.02) << part;
+        EXPECT_NEAR(total_share(shed_share), shed_share, 0.02) << shed_share;
     }
     EXPECT_DOUBLE_EQ(shares.share_of(sign, 0, now), 0);
     EXPECT_DOUBLE_EQ(shares.share_of(sign, 1, now), 1);
 }
 
-TEST_F(shed_shares_test, the_short_ones_go_last)
+TEST_F(shed_shares_test, short_classes_are_shed_last)
 {
     EXPECT_DOUBLE_EQ(shares.share_of(browse, 0.95, now), 1);
     EXPECT_NEAR(shares.share_of(sign, 0.95, now), 0.5, 0.05);
--- a/nutmegusher/policy/slot_queue.cpp
+++ b/nutmegusher/policy/slot_queue.cpp
@@ -88,8 +88,8 @@
     {
         return {reason, duration::zero()};
     }
-    const auto room = std::max(slots_per_second(), 1.0);
-    const auto wait = retry_schedules_[call.rank].next(room, now);
+    const auto call_rate = std::max(slots_per_second(), 1.0);
+    const auto wait = retry_schedules_[call.rank].next(call_rate, now);
     return {reason, spread(wait, engine_)};
 }
 
--- a/nutmegusher/policy/slot_queue_test.cpp
+++ b/nutmegusher/policy/slot_queue_test.cpp
@@ -162,7 +162,7 @@
     EXPECT_GT(std::get<refused>(verdict).retry_after, 0ms);
 }
 
-TEST_F(slots, a_waiting_call_is_refused_when_it_becomes_hopeless)
+TEST_F(slots, a_waiting_call_is_refused_once_it_would_miss_its_deadline)
 {
     learn(1, 100ms);
     arrive(call(1, 1s, 5s));
@@ -179,7 +179,7 @@
     EXPECT_FALSE(queue.next_event());
 }
 
-TEST_F(slots, a_leaving_upstream_gets_nothing_more)
+TEST_F(slots, a_leaving_upstream_gets_no_more_calls)
 {
     const auto running = call(1, 1s, 5s);
     arrive(running);
@@ -252,7 +252,7 @@
     EXPECT_EQ(queue.state().running, 15U);
 }
 
-TEST_F(full_upstream, that_makes_calls_of_its_own_uses_all_slots)
+TEST_F(full_upstream, uses_all_slots_if_it_makes_sub_calls)
 {
     queue.note_sub_call(now);
     simulate(5s);
--- a/nutmegusher/policy/slow_start_test.cpp
+++ b/nutmegusher/policy/slow_start_test.cpp
@@ -85,7 +85,7 @@
     EXPECT_EQ(admit_waiting(2, 100), 100);
 }
 
-TEST_F(slow_start_test, is_over_after_its_longest_time_whatever_comes)
+TEST_F(slow_start_test, is_over_after_its_maximum_duration)
 {
     for (int i = 0; i < 90; ++i)
     {
