--- a/nutmegusher/policy/entry_gate.hpp
+++ b/nutmegusher/policy/entry_gate.hpp
@@ -89,6 +89,7 @@
         // Levels received in this interval, as shares of the class that pass.
         double level_sum = 0;
         std::size_t levels = 0;
+        // As reported with the last level that had one.
         duration retry_after{0};
         // Requests per interval that pass of one heavy customer.
         double customer_cap = 0;
--- a/nutmegusher/policy/useful_slots.hpp
+++ b/nutmegusher/policy/useful_slots.hpp
@@ -81,7 +81,7 @@
 
     // The number of completions needed to evaluate a step, or the number of
     // slots if that is larger: if the standard deviation of slot times is half
-    // of their mean, the mean is known to 5 %.
+    // of their mean, the mean is known to 5 in 100.
     static constexpr std::size_t min_completions = 100;
 
     // Completions are ignored until the slots were filled this many times under
@@ -89,8 +89,8 @@
     // each new limit would look better than the last.
     static constexpr std::size_t settling_rounds = 2;
 
-    // The throughput gain required to use fewer slots; it exceeds the error of
-    // the two means.
+    // The throughput gain required to use fewer slots, so that the error of the
+    // two means alone doesn't lower the limit.
     static constexpr double min_gain = 1.05;
 
     // Measurements of a step expire if no call that started in it has completed
