--- a/nutmegusher/policy/entry_gate_test.cpp
+++ b/nutmegusher/policy/entry_gate_test.cpp
@@ -16,8 +16,9 @@
         call.rank = 4;
     }
 
-    // Offers `per_interval` requests, of which `capacity` can be served;
-    // answers carry the share. Returns how many the gate let in.
+    // Offers `per_interval` requests in one interval, of which `capacity` can
+    // be served; reports the resulting level. Returns how many the gate
+    // admitted.
     int interval(int per_interval, int capacity, std::uint64_t customers = 50)
     {
         int passed = 0;
@@ -79,7 +80,7 @@
     EXPECT_DOUBLE_EQ(under_test.open_share(1), 1.0);
 }
 
-TEST_F(gate, keeps_a_heavy_customer_from_the_others)
+TEST_F(gate, a_heavy_customer_does_not_affect_the_others)
 {
     for (int index = 0; index < 20; ++index)
     {
