--- a/nutmegusher/routed/entry.cpp
+++ b/nutmegusher/routed/entry.cpp
@@ -21,39 +21,42 @@
 using node::refusal;
 
 constexpr std::size_t chunk_bytes = 16384;
-// Without a document nothing can be routed; one comes within a round trip to a
-// control host.
+// Nothing can be routed without a document of routes; fetching one takes a
+// round trip to a control host.
 constexpr duration retry_after_no_routes = std::chrono::milliseconds(500);
-// A service that no upstream is known of: one may report at any moment.
+// No upstream of the service is known; one may report at any moment.
 constexpr duration retry_after_no_upstream = std::chrono::milliseconds(500);
-// A daemon that has just started holds requests for the document of routes: a
-// control host gives it in tens of milliseconds once it has a leader, and a
-// caller that is sent away comes back once at most. Of the time that the caller
-// gives, so that one who is refused in the end can still be served elsewhere.
+// Longest wait for the first document of routes after the daemon's start. A
+// control host sends it within tens of milliseconds once it has a leader, and a
+// refused caller retries once at most. The wait is also limited to a fraction
+// of the caller's timeout, so that a caller that is refused in the end can
+// still be served elsewhere.
 constexpr duration max_routes_wait = std::chrono::seconds(1);
 constexpr int routes_wait_divisor = 4;
 constexpr duration routes_poll_interval = std::chrono::milliseconds(10);
-// A request that waits for the window after a start looks again so often.
+// How often a request that waits for the slow start window asks again.
 constexpr duration slow_start_poll_interval = std::chrono::milliseconds(10);
-// What a caller may send before its limit is known.
+// Largest body accepted before the configured limit is known.
 constexpr std::uint64_t max_body_bytes_without_routes = 65536;
-// A first call waits this long for the upstreams of its service to become
-// known; a sync with a control host takes a round trip.
+// Longest wait of a service's first call for its upstreams to become known; a
+// sync with a control host takes a round trip.
 constexpr duration max_upstreams_wait = std::chrono::milliseconds(500);
 constexpr duration upstreams_poll_interval = std::chrono::milliseconds(2);
-// A request that was turned away for the whole way: it comes back when the
-// level has had the time to fall, and early enough to be on time still (the
-// users' shortest aim of a class that is turned away first is 1.5 s).
+// For a request that was refused because of a service further down its call
+// path. Long enough for the shed level to fall, and short enough for the retry
+// to meet its target (the users' shortest target of a class that is refused
+// first is 1.5 s).
 constexpr duration retry_after_shedding = std::chrono::milliseconds(700);
-// After the end of this process a caller's next connection reaches another one.
+// After this process has stopped, the caller's next connection reaches another
+// one.
 constexpr duration retry_after_stopping = std::chrono::milliseconds(100);
-// Daemons that may turn one call away, unsent, before its caller hears of it:
-// a queue behind one of them is no reason to refuse, behind three it is.
+// Daemons that may refuse one call before it is sent to an upstream, until the
+// caller is refused too: one long queue is no reason to refuse, three are.
 constexpr std::size_t max_refusals = 3;
 
 constexpr unsigned status_server_error = 500;
-// Twenty times what the users' classes fail by themselves, and low enough to
-// hold where an upstream fails a tenth of its calls.
+// Twenty times the error rate of the users' classes in normal operation, and
+// low enough to be reached where an upstream fails a tenth of its calls.
 constexpr double min_error_rate_to_retry = 0.08;
 
 bool is_forwarded(std::string_view name, const request_dialect& names)
@@ -67,11 +70,12 @@
            name != names.caller_service && !name.starts_with("nutmeg-");
 }
 
-// Of requests that are known from so many ends of upstreams or more, one at a
-// time is in work here, and none is sent a second time.
+// Requests with the digest of one under which this many upstreams crashed run
+// one at a time here, and aren't retried once they may have run.
 constexpr std::size_t crashes_to_isolate = 2;
 
-// Keeps a request apart that is suspected to end upstreams.
+// Limits a request that is suspected of crashing upstreams to one at a time, or
+// refuses it.
 class suspect_guard
 {
 public:
@@ -120,7 +124,7 @@
     duration retry_after_{0};
 };
 
-// One request, from its head to its answer.
+// One request, from reading its head to writing its answer.
 class routed_entry
 {
 public:
@@ -150,7 +154,7 @@
         }
         if (!co_await read_body(view_->routes().limits().body_bytes()))
         {
-            co_return; // the caller has gone, or was told what is wrong
+            co_return; // the caller has gone or was refused
         }
         service_ = route_->choose(worker_.random).service;
         call_.metadata.service = service_;
@@ -193,8 +197,8 @@
         return view_->routes().version() != 0;
     }
 
-    // False: the request has ended. The body is read first, so that a caller
-    // who leaves meanwhile is noticed.
+    // Returns false if the request has ended. Reads the body first, as only
+    // then a disconnect of the caller is noticed.
     asio::awaitable<bool> wait_for_routes()
     {
         if (!co_await read_body(max_body_bytes_without_routes))
@@ -363,7 +367,7 @@
         }
     }
 
-    // The end of a request that was cancelled before it had its answer.
+    // Ends a request that was cancelled before it had its answer.
     asio::awaitable<void> finish_cancelled()
     {
         if (cancelled_->is_answer_owed)
@@ -372,8 +376,8 @@
         }
     }
 
-    // Refuses here what a service further down has no room for, before any
-    // work is done for it.
+    // Refuses a request if a service further down its call path is overloaded,
+    // before any work is done for it.
     std::optional<refusal> check_shedding()
     {
         if (call_.metadata.sub_call)
@@ -395,15 +399,16 @@
             spread(retry_after_shedding, worker_.random)};
     }
 
-    // Sub-calls are part of what was let in; long transfers load other
-    // services than the window is there for.
+    // Sub-calls belong to requests that were admitted already; bulk transfers
+    // load other services than those that slow start protects.
     [[nodiscard]] bool needs_slow_start() const
     {
         return !call_.metadata.sub_call && !call_.metadata.bulk;
     }
 
-    // False: the request has ended. Waits for half of its target at most, and
-    // of its time: the rest is for its work, or for another try of the caller.
+    // Returns false if the request has ended. Waits for at most half of the
+    // request's target or of its remaining time, whichever is shorter: the rest
+    // is for its work, or for a retry by the caller.
     asio::awaitable<bool> wait_for_slow_start()
     {
         auto& window = state_.slow_start;
@@ -493,7 +498,8 @@
         co_await finish_cancelled();
     }
 
-    // True: the request has its final answer, or nobody waits for one.
+    // Returns true if the request is finished: it has its final answer, or the
+    // caller no longer waits for one.
     asio::awaitable<bool> try_upstream(node::route to)
     {
         tried_.push_back(to.handle);
@@ -619,7 +625,8 @@
         const bool was_overloaded =
             failed.details.reason == call_reason::overload;
         refusals_ += was_overloaded ? 1 : 0;
-        // What has run isn't forgotten for a later refusal.
+        // A later refusal doesn't replace the failure of a try that may have
+        // run.
         if (!last_failure_ || ran || !may_have_run_)
         {
             last_failure_ = failed.details;
@@ -641,7 +648,7 @@
             retry_after_quarantine};
     }
 
-    // One that upstreams have ended under may end another one.
+    // A request under which upstreams have crashed may crash another one.
     [[nodiscard]] bool may_crash_another() const
     {
         return state_.process.crashes.judge(call_.metadata.digest).ends >=
@@ -671,7 +678,7 @@
             may_have_run_ ? call_outcome::unknown : call_outcome::not_run};
     }
 
-    // This process ends; the daemons of other hosts serve.
+    // This process is stopping; daemons on other hosts can serve the caller.
     [[nodiscard]] refusal stopping() const
     {
         return {
@@ -744,9 +751,10 @@
         co_await refuse(details);
     }
 
-    // An error of an upstream that fails much more than calls do by themselves.
-    // Of one that fails seldom the error is taken to be the call's own: asked
-    // elsewhere it would fail there too.
+    // Whether to retry an error answer at another upstream: only if this
+    // upstream's error rate is far above that of normal calls. An error of an
+    // upstream that fails seldom is attributed to the call itself, which would
+    // fail elsewhere too.
     [[nodiscard]] bool should_retry_error(
         const routed_answer& answer, const peer_feedback& feedback)
     {
@@ -772,7 +780,8 @@
         }
     }
 
-    // Where no route was found, as where no class was.
+    // The class in metrics and logs; "(none)" if no route was found, as for
+    // calls without a class.
     [[nodiscard]] class_name metrics_class() const
     {
         return class_name(route_ == nullptr ? "(none)" : route_->name);
@@ -851,11 +860,11 @@
     std::uint32_t sent_tries_ = 0;
     std::size_t refusals_ = 0;
     bool may_have_run_ = false;
-    // Let in by `slow_start`.
+    // Admitted by `slow_start`.
     bool admitted_ = false;
     std::optional<refusal> last_failure_;
-    // An upstream's error after which the call was made elsewhere; the answer
-    // where nothing better comes.
+    // An error answer of an upstream after which the call was retried
+    // elsewhere; forwarded if no retry gives a better one.
     std::optional<routed_answer> error_answer_;
 };
 
--- a/nutmegusher/routed/entry.hpp
+++ b/nutmegusher/routed/entry.hpp
@@ -1,5 +1,6 @@
-// Where a routed request enters: read -> route -> send to an upstream's
-// daemon, elsewhere again where that can help -> answer.
+// Entry of routed requests: reads a request, selects its route, sends it to the
+// daemon of an upstream, retries at another upstream where that can help, and
+// forwards the answer.
 #ifndef NUTMEGUSHER_ROUTED_ENTRY_HPP
 #define NUTMEGUSHER_ROUTED_ENTRY_HPP
 
@@ -9,8 +10,9 @@
 namespace nutmegusher::routed
 {
 
-// Serves one request of a caller on this host. It ends in the upstream's
-// answer, a refusal, or a connection that is closed without a clean end.
+// Serves one request of a caller on this host. The request ends with the
+// upstream's answer, with a refusal, or with a connection that is closed
+// without a clean end.
 asio::awaitable<void> serve_routed_request(
     node::worker& worker, routed_state& state, node::caller_exchange& exchange);
 
--- a/nutmegusher/routed/extension.cpp
+++ b/nutmegusher/routed/extension.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-// Names a document by its numbers and content, so that each sending of it is
-// the same change.
+// Derives the change id from the document's version and content, so that
+// sending the same document again is the same change.
 std::string change_id_of(const messages::route_document& document)
 {
     const auto bytes = document.SerializeAsString();
@@ -84,7 +84,8 @@
     }
 
 private:
-    // Callers hear whether the upstream takes work; the slots follow it.
+    // Announces to callers whether the upstream takes calls, and updates the
+    // number of slots.
     void
     announce_local(const std::function<void(const node::announcement&)>& send)
     {
@@ -124,7 +125,7 @@
         state->slots.restart();
         state->errors.reset();
     }
-    // Also without a change: the announcement lives by being repeated.
+    // Also without a change: an announcement expires unless it is repeated.
     state->upstream_changed();
 }
 
--- a/nutmegusher/routed/extension.hpp
+++ b/nutmegusher/routed/extension.hpp
@@ -10,48 +10,50 @@
 namespace nutmegusher::routed
 {
 
-// What a party outside of the system asks of a process, already decoded.
+// The operations that an external platform may ask of a process, with decoded
+// arguments.
 class routed_service
 {
 public:
     explicit routed_service(const node::extension_context& context);
 
-    // The upstream on this host reports; changes nothing where the report is
-    // late.
+    // A report of the upstream on this host; a late report changes nothing.
     void report(const upstream_report& new_report);
 
-    // Whether the upstream on this host is one of the service, by the settings.
+    // Whether the upstream on this host may belong to the service according to
+    // the settings.
     [[nodiscard]] bool serves(const service_name& service) const;
 
-    // The upstream with that id takes no new work; `started`: see
-    // `local_upstream`.
+    // Stops new calls to the upstream with that id; `started`: see
+    // `local_upstream::withdraw`.
     void withdraw(const std::string& id, std::uint64_t started);
 
-    // Whether callers on this host should be sent here: there is a document of
-    // routes, and no stop has begun.
+    // Whether callers on this host should connect to this process: it has a
+    // document of routes and isn't stopping.
     [[nodiscard]] bool is_ready() const;
 
-    // True where this process is a control host.
+    // Whether this process is a control host.
     [[nodiscard]] bool is_control_host() const;
 
-    // Replaces all routes; `change_unavailable` where the outcome isn't known.
-    // The change is named by the document, so that the same document sent
-    // again gets the first answer.
+    // Replaces all routes; `change_unavailable` if the outcome isn't known.
+    // Idempotent: the change id is derived from the document, so sending the
+    // same document again returns the first result.
     asio::awaitable<messages::change_result>
     install(messages::route_document document);
 
-    // The document in force, confirmed by a majority; nothing where none can
-    // confirm it.
+    // The document in force, confirmed by a majority of the control hosts;
+    // nullopt if they can't confirm it.
     asio::awaitable<std::optional<messages::route_document>> read();
 
-    // The state behind the listeners; set by `routed_extension`.
+    // The state shared with the listeners; set by `routed_extension`.
     routed_state* state = nullptr;
 
 private:
     const node::extension_context context_;
 };
 
-// Names and formats of one party, for the whole process.
+// Translates the names and formats of one external platform. One instance
+// serves the whole process.
 class interface_adapter
 {
 public:
@@ -62,14 +64,14 @@
 
     [[nodiscard]] virtual request_dialect dialect() const = 0;
 
-    // Each answers `false` where the request is none that it knows.
+    // Both return false if they don't know the request.
     virtual asio::awaitable<bool> serve_upstream(
         routed_service& service, node::caller_exchange& exchange) = 0;
     virtual asio::awaitable<bool> serve_operator(
         routed_service& service, node::caller_exchange& exchange) = 0;
 };
 
-// The path of routed requests for one process.
+// Creates the extension that serves routed requests in one process.
 [[nodiscard]] std::unique_ptr<node::extension>
 make_routed_extension(std::unique_ptr<interface_adapter> adapter);
 
--- a/nutmegusher/routed/local_upstream.cpp
+++ b/nutmegusher/routed/local_upstream.cpp
@@ -9,7 +9,7 @@
 {
 
 // Ids whose late reports are recognised. A host's upstream starts a few times
-// an hour at most, and reports come seconds late, not hours.
+// an hour at most, and late reports are late by seconds, not hours.
 constexpr std::size_t max_known_ids = 64;
 
 } // namespace
--- a/nutmegusher/routed/local_upstream.hpp
+++ b/nutmegusher/routed/local_upstream.hpp
@@ -1,4 +1,4 @@
-// The upstream on this host, as it reports itself.
+// State of the upstream on this host, from its own reports.
 #ifndef NUTMEGUSHER_ROUTED_LOCAL_UPSTREAM_HPP
 #define NUTMEGUSHER_ROUTED_LOCAL_UPSTREAM_HPP
 
@@ -16,14 +16,15 @@
 namespace nutmegusher::routed
 {
 
-// Where a report stands among all that an upstream says under its id: a later
-// start goes before a higher count, as the count begins anew with each start.
+// Order of the reports that an upstream sends under its id. A later start
+// outranks a higher count, as the count restarts with each start.
 struct report_order
 {
-    // When the upstream's process started, by its own clock; milliseconds since
-    // the Unix epoch, 0 where it doesn't tell. Compared only with itself.
+    // When the upstream's process started, by its own clock: milliseconds since
+    // the Unix epoch, 0 if not reported. Compared only with other starts of the
+    // same id.
     std::uint64_t started = 0;
-    // Rises with each report of one start.
+    // Increases with each report of one start.
     std::uint64_t count = 0;
 
     friend auto operator<=>(const report_order&, const report_order&) = default;
@@ -32,60 +33,62 @@
 // One report of an upstream.
 struct upstream_report
 {
-    // It may start again under the same id.
+    // Stays the same when the upstream restarts under it.
     std::string id;
     service_name service;
     boost::asio::ip::tcp::endpoint address;
-    // Calls that it works on at once.
+    // Calls that the upstream works on at once.
     std::size_t slots = 0;
     report_order order;
     bool leaving = false;
-    // How much longer it is slow after its start.
+    // How much longer the upstream is slow after its start.
     duration warm_up_remaining{0};
 };
 
 // What a report changed.
 enum class report_effect : std::uint8_t
 {
-    // It is late, or says what is known.
+    // The report is late or repeats what is known.
     none,
     changed,
-    // Another process than before reports: it holds nothing of what the
-    // earlier one was given.
+    // Another process of the upstream reports: it has none of the calls that
+    // the earlier process was given.
     started
 };
 
-// Which upstream is meant now. Safe from every thread.
+// Tracks which upstream currently receives this host's calls. Thread-safe.
 //
-// Reports may come late, also after their sender has ended and another one has
-// started at the same address: a report that isn't newer than the last of its
-// id changes nothing, and an id that was replaced comes back only by a newer
-// report of its own. A later start under the same id makes all void that the
-// earlier one said, its leaving and withdrawal too.
+// Reports may arrive late, even after their sender has ended and another
+// upstream has started at the same address. A report that isn't newer than the
+// last one of its id is ignored, and an id that was replaced becomes current
+// again only by a newer report of its own. A later start under the same id
+// cancels everything that the earlier start reported, including leaving and
+// withdrawal.
 class local_upstream
 {
 public:
     report_effect report(const upstream_report& new_report);
 
-    // It says that it is gone; it may still work on what it has. `started`:
-    // the start that says so, 0 where it doesn't tell; that of an earlier
-    // start changes nothing. True where `current` changed.
+    // The upstream with this id leaves; it may still work on calls that it has.
+    // `started` is the start that withdraws, 0 if not reported; the withdrawal
+    // of an earlier start is ignored. Returns whether `current` changed.
     bool withdraw(const std::string& id, std::uint64_t started = 0);
 
-    // It didn't take a connection: nothing is sent there until it reports.
+    // The upstream refused a connection: it gets no calls until its next
+    // report. Returns whether that is new.
     bool mark_unreachable(const std::string& id);
 
-    // The upstream of the last valid report; nothing before the first one.
+    // The upstream of the last valid report; nullopt before the first one.
     [[nodiscard]] std::optional<upstream_report> current() const;
 
-    // Whether new calls may be sent to it.
+    // Whether new calls may be sent to the upstream.
     [[nodiscard]] bool takes_calls() const;
 
 private:
     struct known_id
     {
         std::string id;
-        // Nothing before its first report.
+        // Empty before the first report.
         std::optional<report_order> last_order;
         bool withdrawn = false;
     };
@@ -95,7 +98,7 @@
     mutable std::mutex mutex_;
     std::optional<upstream_report> current_;
     bool reachable_ = true;
-    // The newest last; bounded.
+    // Newest last; bounded by `max_known_ids`.
     std::deque<known_id> known_;
 };
 
--- a/nutmegusher/routed/local_upstream_test.cpp
+++ b/nutmegusher/routed/local_upstream_test.cpp
@@ -53,7 +53,7 @@
     local.report(report("b", 1));
     EXPECT_FALSE(is_accepted(local.report(report("a", 6))));
     EXPECT_EQ(local.current()->id, "b");
-    // It does if it is there after all.
+    // A newer report of the replaced id makes it current again.
     EXPECT_TRUE(is_accepted(local.report(report("a", 8))));
     EXPECT_EQ(local.current()->id, "a");
 }
@@ -69,7 +69,7 @@
     EXPECT_TRUE(local.takes_calls());
 }
 
-// The count begins anew with each start.
+// The count restarts with each start.
 TEST(local_upstream, a_later_start_outranks_a_higher_count)
 {
     local_upstream local;
@@ -78,9 +78,9 @@
         local.report(report("a", 1, false, 2000)), report_effect::started);
     EXPECT_EQ(local.current()->order, (report_order{2000, 1}));
     EXPECT_FALSE(is_accepted(local.report(report("a", 41))))
-        << "the earlier start";
+        << "from the earlier start";
     EXPECT_FALSE(is_accepted(local.report(report("a", 41, true))))
-        << "it leaves";
+        << "from the earlier start, leaving";
     EXPECT_TRUE(local.takes_calls());
     EXPECT_EQ(local.current()->order, (report_order{2000, 1}));
 }
@@ -106,7 +106,7 @@
     local.report(report("a", 1, false, 2000));
     EXPECT_FALSE(local.withdraw("a", 1000));
     EXPECT_TRUE(local.takes_calls());
-    EXPECT_TRUE(local.withdraw("a")) << "which start isn't told";
+    EXPECT_TRUE(local.withdraw("a")) << "without a start";
     EXPECT_FALSE(local.takes_calls());
 }
 
--- a/nutmegusher/routed/peer_exchange.cpp
+++ b/nutmegusher/routed/peer_exchange.cpp
@@ -17,11 +17,11 @@
 using node::refusal;
 
 constexpr std::size_t chunk_bytes = 16384;
-// Bounds what a peer may have a daemon keep; above every body that callers may
-// send.
+// Bounds the memory that a peer's call can use; above every body that callers
+// may send.
 constexpr std::size_t max_body_bytes = 64 * 1024 * 1024;
-// Far above a round trip between regions; a host that takes longer to accept
-// is slow or gone, and another one can be tried in the time that is left.
+// Far above a round trip between regions. A host that takes longer to accept is
+// slow or down, and the remaining time is enough to try another one.
 constexpr duration connect_timeout = std::chrono::milliseconds(250);
 constexpr unsigned status_ok = 200;
 
@@ -62,7 +62,7 @@
     return {details, false};
 }
 
-// The rest of a long answer that comes over a stream.
+// The rest of a long answer, read from a stream.
 class stream_rest final : public answer_rest
 {
 public:
@@ -120,7 +120,8 @@
         {
             co_return not_sent();
         }
-        // Nothing ends a call that was given up before it is sent.
+        // `cancelled_->stop` isn't set yet, so a call that was cancelled in the
+        // meantime is stopped here.
         if (cancelled_->requested)
         {
             co_return cancelled_before_sending();
@@ -149,10 +150,10 @@
 
 private:
     // Pattern of failure: hosts lose power together, and each of their many
-    // callers learns it from the next call that it sends there on a session of
-    // before. Of calls that may not be repeated each of these was lost, and
-    // nobody could say that it hadn't run; the others needed a repeat each,
-    // and callers with few calls have few.
+    // callers notices with the next call that it sends on an existing session.
+    // Unrepeatable calls on such sessions were lost without proof that they
+    // hadn't run. Repeatable ones each needed a retry, and callers with few
+    // calls have few retries.
     asio::awaitable<bool> confirm_reachable(wire::client_session& session)
     {
         const auto proof = co_await session.confirm();
@@ -290,7 +291,7 @@
     co_return std::nullopt;
 }
 
-// Passes the rest on; a stream that isn't ended is reset.
+// Forwards the rest of the answer; a stream that isn't ended cleanly is reset.
 asio::awaitable<void> write_rest(wire::server_stream& stream, answer_rest& rest)
 {
     std::array<std::byte, chunk_bytes> chunk;
--- a/nutmegusher/routed/peer_exchange.hpp
+++ b/nutmegusher/routed/peer_exchange.hpp
@@ -1,4 +1,4 @@
-// Carries routed calls between daemons.
+// Sends and serves routed calls between daemons.
 #ifndef NUTMEGUSHER_ROUTED_PEER_EXCHANGE_HPP
 #define NUTMEGUSHER_ROUTED_PEER_EXCHANGE_HPP
 
@@ -13,22 +13,23 @@
 namespace nutmegusher::routed
 {
 
-// What came back beside the answer or the failure.
+// What the sender learns besides the answer or the failure.
 struct peer_feedback
 {
-    // Nothing where no word came.
+    // Empty if no load report arrived.
     std::optional<upstream_load_report> load_report;
-    // Nothing but silence came from there until the end.
+    // The peer stayed silent until the call ended.
     bool silent = false;
-    // The connection couldn't be made or broke.
+    // The connection couldn't be made, or it broke.
     bool broken = false;
 };
 
-// What this host's daemon tells with the answer to such a call.
+// The load report of this host's upstream for the answer to such a call.
 //
-// A long transfer hears of its own service alone: it passes on what that
-// service holds. Without this the downloads of an archive were turned away for
-// a registry that only the archive's index reads need, 43 in 100 of them.
+// For a bulk transfer it holds only the shed level of the upstream's own
+// service, not the levels of the services that it calls: otherwise 43 in 100
+// downloads of an archive were refused for a registry that only the archive's
+// index reads need.
 [[nodiscard]] upstream_load_report
 own_load_report(const routed_state& state, const call_metadata& metadata);
 
@@ -40,10 +41,10 @@
     cancel_flag cancelled,
     peer_feedback& feedback);
 
-// Whether a stream of a peer carries a routed call.
+// Whether a peer's stream carries a routed call.
 [[nodiscard]] bool is_routed_call(const wire::request_head& head);
 
-// Serves such a stream with the upstream on this host.
+// Serves a routed call on a peer's stream with the upstream on this host.
 asio::awaitable<void> serve_routed_call(
     node::worker& worker,
     routed_state& state,
--- a/nutmegusher/routed/peer_exchange_test.cpp
+++ b/nutmegusher/routed/peer_exchange_test.cpp
@@ -1,4 +1,4 @@
-// Calls to another daemon that end before their answer.
+// Calls to another daemon that end before their answer arrives.
 #include "nutmegusher/routed/test_path.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -12,7 +12,8 @@
 
 using namespace test_path;
 
-// Its caller goes, or this process ends, while the session is being opened.
+// The caller disconnects, or this process stops, while the session is being
+// opened.
 TEST(peer_exchange, does_not_send_a_call_cancelled_while_connecting)
 {
     node::controllers shared(
--- a/nutmegusher/routed/peer_fields.cpp
+++ b/nutmegusher/routed/peer_fields.cpp
@@ -29,8 +29,8 @@
 constexpr unsigned bulk_bit = 2;
 constexpr unsigned sub_call_bit = 4;
 
-// Words of a field, separated by single spaces. A stream would cost more than
-// all else that is done with such a field.
+// Splits a field at single spaces. A string stream would cost more than all
+// other work on the field.
 class field_words
 {
 public:
@@ -39,7 +39,7 @@
     {
     }
 
-    // Empty at the end.
+    // Returns an empty view at the end.
     std::string_view next()
     {
         const auto end = std::min(rest_.find(' '), rest_.size());
@@ -48,7 +48,7 @@
         return value;
     }
 
-    // False where the next word isn't a number that fits.
+    // Returns false if the next word isn't a number that fits.
     template <class Number>
     bool read(Number& into)
     {
@@ -130,7 +130,7 @@
     return text;
 }
 
-// Items that aren't of this form are left out: levels are hints.
+// Skips malformed items: levels are hints.
 std::vector<shed_level> parse_shed(std::string_view text)
 {
     std::vector<shed_level> levels;
@@ -187,7 +187,7 @@
     {
         return std::nullopt;
     }
-    // Daemons of an earlier version don't tell it.
+    // Optional: daemons of an earlier version don't send the digest.
     words.read(metadata.digest);
     metadata.id = *id;
     metadata.service = service_name(*service);
--- a/nutmegusher/routed/peer_fields_test.cpp
+++ b/nutmegusher/routed/peer_fields_test.cpp
@@ -1,4 +1,5 @@
-// What one daemon writes another one reads; what nobody wrote is refused.
+// Fields that one daemon writes are read unchanged by another one; malformed
+// fields are rejected.
 #include "nutmegusher/routed/peer_fields.hpp"
 
 #include <gtest/gtest.h>
--- a/nutmegusher/routed/request_dialect.hpp
+++ b/nutmegusher/routed/request_dialect.hpp
@@ -10,24 +10,26 @@
 namespace nutmegusher::routed
 {
 
-// The names by which callers and upstreams call what travels with a request,
-// and the form of an answer that gives one up. Names are in lower case.
+// Names of the header fields that callers and upstreams use, and the format of
+// a refusal. Names are in lower case.
 struct request_dialect
 {
-    // On requests and answers: names one attempt of a caller.
+    // On requests and answers: identifies one attempt of a caller.
     std::string request_id = "nutmeg-request-id";
-    // Whole milliseconds that the caller still waits.
+    // On requests: whole milliseconds that the caller still waits.
     std::string time_left = "nutmeg-timeout-ms";
-    // Set for the upstream: the service on the host where the request began.
+    // Sent to the upstream: the service on the host where the request began.
     std::string caller_service = "nutmeg-caller-service";
-    // Set for the upstream: which one is meant; another one refuses.
+    // Sent to the upstream: the id of the upstream that is meant; any other
+    // refuses.
     std::string expected_upstream = "nutmeg-expected-upstream";
     // On answers: the upstream didn't run the request.
     std::string not_run = "nutmeg-not-run";
-    // On answers: proves that the upstream gave it; empty: it gives no proof.
+    // On answers: proves that the upstream sent it. Empty if the dialect has no
+    // such proof.
     std::string signature;
 
-    // The head of the answer to a request that is given up on.
+    // Makes the head of the answer that refuses a request.
     std::function<wire::response_head(const node::refusal&)> refuse =
         node::to_head;
 };
--- a/nutmegusher/routed/reused_address_test.cpp
+++ b/nutmegusher/routed/reused_address_test.cpp
@@ -1,5 +1,5 @@
-// Hosts that have gone and whose addresses others have taken: a call runs on an
-// upstream of the service that it is for, or is proved not to have run.
+// Hosts that are gone and whose addresses other hosts have taken over: a call
+// runs on an upstream of its own service, or is proved not to have run.
 #include "nutmegusher/routed/test_path.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -27,7 +27,7 @@
 class reused_address : public routed_path
 {
 protected:
-    // Counts and answers.
+    // Counts and answers each request.
     scripted_upstream::script counting(std::atomic<int>& runs)
     {
         return [&runs](tcp::socket& socket)
@@ -56,7 +56,7 @@
     EXPECT_EQ(runs, 0);
 }
 
-// Also one that may not be repeated, and each of them within one request.
+// Also if the call may not be repeated, and without a retry by the caller.
 TEST_F(reused_address, a_call_runs_on_another_upstream_of_its_service)
 {
     std::atomic<int> wrong = 0;
@@ -73,7 +73,7 @@
     EXPECT_EQ(right, 20);
 }
 
-// The upstream gives way to one of another service while the call waits.
+// The upstream is replaced by one of another service while the call waits.
 TEST_F(reused_address, the_service_is_checked_again_after_the_wait_for_a_slot)
 {
     std::atomic<int> runs = 0;
--- a/nutmegusher/routed/routed_call.hpp
+++ b/nutmegusher/routed/routed_call.hpp
@@ -1,4 +1,4 @@
-// One routed request between the daemon where it enters and the one beside
+// One routed request between the daemon where it enters and the daemon beside
 // its upstream.
 #ifndef NUTMEGUSHER_ROUTED_ROUTED_CALL_HPP
 #define NUTMEGUSHER_ROUTED_ROUTED_CALL_HPP
@@ -25,26 +25,28 @@
 // What the daemon beside the upstream must know of a request.
 struct call_metadata
 {
-    // The caller's attempt, as it named it.
+    // The caller's id of this attempt.
     std::string id;
-    // The host name that it asked for.
+    // The host name that the caller asked for.
     std::string host;
-    // The service that the entry chose: an upstream of another one doesn't run
-    // the call, whatever host the entry took it to be on.
+    // The service that the entry chose. An upstream of another service doesn't
+    // run the call, even if the entry took it for one of this service.
     service_name service;
-    // The service on the host where it began, and the host's data centre.
+    // The service on the host where the request began, and that host's data
+    // centre.
     service_name caller_service;
     data_center_name caller_data_center;
     std::uint8_t rank = 0;
     bool repeatable = false;
     bool bulk = false;
-    // An upstream made it.
+    // The caller is an upstream.
     bool sub_call = false;
     duration target{0};
     time_point deadline;
     // `stable_hash` of the route's name.
     std::uint64_t work_class = 0;
-    // Of the request's content; the same wherever and whenever it comes.
+    // Hash of the request's content: the same request has the same digest at
+    // every host and time.
     std::uint64_t digest = 0;
 
     [[nodiscard]] duration time_left() const
@@ -56,15 +58,15 @@
 struct routed_call
 {
     call_metadata metadata;
-    // Method, path and the fields that are passed on.
+    // Method, path and the forwarded fields.
     wire::request_head head;
     std::string body;
 };
 
-// An upstream that has ended with the call at work.
+// An upstream that crashed while the call ran.
 struct crashed_upstream
 {
-    // Names it and its start.
+    // Identifies the upstream and its start.
     std::uint64_t upstream = 0;
     duration ran_for{0};
 };
@@ -72,15 +74,15 @@
 // How a call failed.
 struct failed_call
 {
-    // Reason, what is known of its execution, when to come back.
+    // The reason, whether the call ran, and when to retry.
     node::refusal details;
-    // It reached the upstream, and may count as one of its tries.
+    // The call reached the upstream and may count as one of its tries.
     bool sent = false;
-    // Set where the call is suspected of the upstream's end.
+    // Set if the call is suspected of having crashed the upstream.
     std::optional<crashed_upstream> crashed = std::nullopt;
 };
 
-// The rest of an answer that is too long to be kept whole.
+// The rest of an answer that is too long to be buffered whole.
 class answer_rest
 {
 public:
@@ -89,12 +91,13 @@
     answer_rest& operator=(const answer_rest&) = delete;
     virtual ~answer_rest() = default;
 
-    // At least one byte, or 0 at the clean end; nothing where it broke off.
+    // Returns the number of bytes read, at least one; 0 at the clean end, nullopt
+    // if the answer broke off.
     virtual asio::awaitable<std::optional<std::size_t>>
     read_some(std::span<std::byte> into) = 0;
 };
 
-// An answer of an upstream: whole, or its beginning and the rest.
+// An answer of an upstream: whole, or its beginning and a source of the rest.
 struct routed_answer
 {
     wire::response_head head;
@@ -103,13 +106,13 @@
     std::optional<std::uint64_t> length;
 };
 
-// Answers up to this size are passed on only when they are whole, so that a
+// Answers up to this size are forwarded only when they are complete, so that a
 // broken one can still be fetched elsewhere. Thirty times the mean answer of
 // the users' largest class.
 inline constexpr std::size_t max_buffered_answer_bytes = 256 * 1024;
 
-// When a caller may ask again about a request that isn't run any more, or that
-// is run one at a time.
+// When a caller may retry a request that is quarantined, or one that is
+// suspected and runs one at a time.
 inline constexpr duration retry_after_quarantine = std::chrono::minutes(1);
 inline constexpr duration retry_after_suspected = std::chrono::seconds(1);
 
--- a/nutmegusher/routed/routed_path_test.cpp
+++ b/nutmegusher/routed/routed_path_test.cpp
@@ -1,4 +1,4 @@
-// The path of a routed request over real sockets: a caller, the daemon where it
+// Routed requests over real sockets: a caller, the daemon where the request
 // enters, the daemon beside the upstream, and an upstream that misbehaves.
 #include "nutmegusher/routed/test_path.hpp"
 
@@ -39,8 +39,8 @@
     EXPECT_LE(std::stoi(std::string(seen[0]["nutmeg-timeout-ms"])), 2000);
 }
 
-// The second answer to the first request stands where the second request's
-// answer is expected.
+// The upstream sends a second answer to the first request, where the answer to
+// the second request is expected.
 TEST_F(routed_path, an_extra_answer_reaches_no_caller)
 {
     start(
@@ -72,7 +72,7 @@
             beast::flat_buffer buffer;
             if (read_request(socket, buffer))
             {
-                ++runs; // and the answer is lost
+                ++runs; // closes the connection without an answer
             }
         });
     const auto answer = ask("/pay/1", "id-1", "amount 7");
@@ -119,8 +119,8 @@
     EXPECT_TRUE(answer.body().empty());
 }
 
-// The upstream answers when it has the head; the body doesn't fit into the
-// connection.
+// The upstream answers after the head; the body is larger than the connection's
+// buffers.
 TEST_F(routed_path, an_answer_may_come_before_the_body_is_read)
 {
     start(
@@ -142,7 +142,7 @@
                 socket.read_some(asio::buffer(rest), failed);
             }
         });
-    // More than both connections' windows and buffers hold.
+    // More than the flow control windows and buffers of both connections hold.
     std::string body;
     body.resize(20'000'000, 'x');
     const auto answer = ask("/pay/1", "id-1", body);
@@ -156,7 +156,7 @@
     EXPECT_EQ(ask("/other/", "id-1").result_int(), 404U);
 }
 
-// Answers each request, and counts them.
+// Answers and counts each request.
 scripted_upstream::script counting(std::atomic<int>& runs)
 {
     return [&runs](tcp::socket& socket)
@@ -267,7 +267,7 @@
 class failing_upstream : public routed_path
 {
 protected:
-    // The other one answers with `status`.
+    // The other upstream answers with `status`.
     void start_both(http::status status)
     {
         start(answering(http::status::internal_server_error));
@@ -301,7 +301,7 @@
         return runs_[id];
     }
 
-    // More than the few by which the upstream's fault is known.
+    // More than the few requests that it takes to detect the failing upstream.
     static constexpr int requests = 60;
 
 private:
@@ -309,8 +309,8 @@
     std::map<std::string, int> runs_;
 };
 
-// Where nobody tells of the errors all of the requests fail: the upstream that
-// fails at once looks like the least loaded.
+// Without reports of the error rate all requests fail: the upstream that fails
+// at once looks like the least loaded.
 TEST_F(failing_upstream, its_errors_are_retried_at_another_upstream)
 {
     start_both(http::status::ok);
@@ -345,9 +345,9 @@
     }
 }
 
-// It runs the call, and every second answer is lost: nothing that may not be
-// repeated can be saved then, but sent elsewhere in the first place. A tenth of
-// the calls is what finding it may cost.
+// The upstream runs every call and loses every second answer. An unrepeatable
+// call can't be retried then, only be sent to the other upstream in the first
+// place. Detecting the fault may cost a tenth of the calls.
 TEST_F(failing_upstream, an_upstream_that_loses_its_answers_is_avoided)
 {
     std::atomic<int> count = 0;
@@ -376,7 +376,7 @@
     EXPECT_LE(lost, requests / 10);
 }
 
-// It turns calls away although it has slots for them.
+// The upstream refuses calls although it has free slots.
 TEST_F(failing_upstream, an_upstream_that_refuses_calls_is_avoided)
 {
     int refused_calls = 0;
--- a/nutmegusher/routed/routed_state.hpp
+++ b/nutmegusher/routed/routed_state.hpp
@@ -1,4 +1,4 @@
-// What all worker threads share of the path of routed requests.
+// The state of routed requests that all worker threads share.
 #ifndef NUTMEGUSHER_ROUTED_ROUTED_STATE_HPP
 #define NUTMEGUSHER_ROUTED_ROUTED_STATE_HPP
 
@@ -23,7 +23,7 @@
 namespace nutmegusher::routed
 {
 
-// Repeats that this daemon may still make, by service.
+// Retries that this daemon may still make, by service.
 class retry_allowances
 {
 public:
@@ -41,27 +41,27 @@
     allowances sub_call_allowances_;
 };
 
-// What answers tell of the services on the way, and what this host's own
-// upstream passes on of it.
+// Shed levels of the services on the call paths, as answers report them, and
+// those that this host's own upstream reports to its callers.
 class call_path_levels
 {
 public:
-    // An answer to a request of the route brought these levels.
+    // An answer to a request of the route reported these levels.
     void record(std::uint64_t route, std::span<const shed_level> levels);
 
-    // The same, and the own upstream made the request.
+    // The same, for a request that this host's own upstream made.
     void record_sub_call(
         const service_name& called, std::span<const shed_level> levels);
 
-    // The highest level on the way of requests of the route.
+    // The highest level on the call path of the route.
     [[nodiscard]] double level(std::uint64_t route) const;
 
-    // What is wanted turned away on the way of calls that the upstream on
-    // this host makes of the service.
+    // The levels on the call path of calls that this host's upstream makes to
+    // the service.
     [[nodiscard]] std::vector<shed_level>
     sub_call_levels(const service_name& called) const;
 
-    // The services that it calls.
+    // The services that this host's upstream calls.
     [[nodiscard]] std::vector<service_name> called() const;
 
 private:
@@ -71,18 +71,20 @@
     std::set<service_name> called_services_;
 };
 
-// Which requests that enter here are turned away: `shed_order` by rank.
+// Decides which requests that enter here are shed: one `shed_order` for each
+// rank.
 class entry_shedding
 {
 public:
-    // Decides on a request of the route; `shed_share`: of its rank.
-    // `fraction`: its own number in [0, 1).
+    // Returns whether to shed a request of the route. `shed_share`: the share
+    // of the rank's requests to shed. `fraction`: the request's own number in
+    // [0, 1).
     bool decide(
         std::uint8_t rank,
         std::uint64_t route,
         double shed_share,
         double fraction);
-    // One that was let in has its answer.
+    // An admitted request was answered.
     void on_answer(std::uint8_t rank, std::uint64_t route, duration elapsed);
 
 private:
@@ -90,7 +92,7 @@
     std::array<shed_order, rank_count> orders_;
 };
 
-// An `opening` for all worker threads, from the first request on.
+// An `opening` for all worker threads; starts with the first request.
 class entry_slow_start
 {
 public:
@@ -106,20 +108,21 @@
     std::optional<opening> window_;
 };
 
-// Which routes only upstreams call, as this host has seen or was told.
+// Which routes only upstreams call: counted on this host, or reported by
+// answers.
 class sub_call_routes
 {
 public:
-    // A call of the route came to the upstream on this host.
+    // A call of the route reached the upstream on this host.
     void count(std::uint64_t route, const service_name& caller);
-    // Whether it is one, by the calls counted here.
+    // Whether only upstreams call the route, by the calls counted here.
     [[nodiscard]] bool is_counted_sub_call(std::uint64_t route) const;
 
-    // An answer told.
+    // An answer reported whether only upstreams call the route.
     void on_report(std::uint64_t route, bool is_sub_call);
-    // Whether it is one, by what answers told.
+    // Whether answers report the route as one that only upstreams call.
     [[nodiscard]] bool is_reported_sub_call(std::uint64_t route) const;
-    // Whether it is none, by what answers told.
+    // Whether answers report that others call the route too.
     [[nodiscard]] bool is_reported_request(std::uint64_t route) const;
 
 private:
@@ -128,13 +131,13 @@
     std::unordered_map<std::uint64_t, bool> reported_;
 };
 
-// The errors of the upstream on this host: see `error_meter`.
+// The error rate of the upstream on this host: see `error_meter`.
 class upstream_errors
 {
 public:
-    // It answered a call that came from the data centre.
+    // The upstream answered a call that came from the data centre.
     void on_answer(const data_center_name& from, bool error);
-    // A call that it made itself failed.
+    // A call that the upstream made failed.
     void on_failed_call();
     // Another process of the upstream has started.
     void reset();
@@ -163,10 +166,10 @@
     entry_slow_start slow_start;
     sub_call_routes sub_calls;
     upstream_errors errors;
-    // Tells the rest of the process that `local` has changed.
+    // Notifies the rest of the process that `local` has changed.
     const std::function<void()> upstream_changed;
 
-    // The upstream didn't take a connection.
+    // The upstream refused a connection.
     void mark_unreachable(const std::string& id);
 };
 
--- a/nutmegusher/routed/silent_host_test.cpp
+++ b/nutmegusher/routed/silent_host_test.cpp
@@ -1,4 +1,4 @@
-// Hosts that lose power under the sessions of their callers.
+// Hosts that lose power while callers have open sessions to them.
 #include "nutmegusher/routed/test_path.hpp"
 #include "nutmegusher/wire/wire_test_relay.hpp"
 
@@ -9,8 +9,8 @@
 
 using namespace test_path;
 
-// The ways to daemons lead through relays that can lose track of their
-// connections.
+// Connects to the daemons through TCP relays that can stop forwarding while
+// their connections stay open.
 class silent_host : public routed_path
 {
 protected:
@@ -54,7 +54,7 @@
         entry->shared.routes.update(service_name("balances"), records);
     }
 
-    // Runs it on the relays' thread.
+    // Runs `action` on the relays' thread.
     template <class Action>
     void on_relays(Action action)
     {
@@ -91,7 +91,7 @@
                     each->silence();
                 }
             });
-        // Longer than a peer counts as heard from.
+        // Longer than a session is trusted without having received anything.
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
 
@@ -124,8 +124,8 @@
     EXPECT_EQ(runs_on_silent + runs_on_other, 11);
 }
 
-// Two hosts of three go at once: the loss of a call shows the first one, and
-// no other call is lost to the second.
+// Two hosts of three go silent together: the first lost call reveals one, and
+// no further call is lost to the other.
 TEST_F(silent_host, after_one_loss_calls_confirm_their_session_first)
 {
     start_another(counting(runs_on_silent));
--- a/nutmegusher/routed/slot_gate.cpp
+++ b/nutmegusher/routed/slot_gate.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-// A waiting call looks again no sooner than this: its timer may fire a little
-// before the queue finds it hopeless.
+// Shortest wait between two checks of a waiting call: its timer may fire
+// slightly before the queue finds the call hopeless.
 constexpr duration min_wait = std::chrono::milliseconds(2);
 
-// While an upstream is pressed, its state is logged this often.
+// How often the state of a congested upstream is logged.
 constexpr duration log_interval = std::chrono::seconds(1);
 
 } // namespace
--- a/nutmegusher/routed/slot_gate.hpp
+++ b/nutmegusher/routed/slot_gate.hpp
@@ -1,4 +1,4 @@
-// Calls suspend here until the upstream on this host has a slot for them.
+// Suspends calls until the upstream on this host has a slot for them.
 #ifndef NUTMEGUSHER_ROUTED_SLOT_GATE_HPP
 #define NUTMEGUSHER_ROUTED_SLOT_GATE_HPP
 
@@ -22,17 +22,17 @@
 public:
     explicit slot_gate(std::uint64_t seed);
 
-    // A ticket that no other call has.
+    // Returns a ticket that no other call has.
     ticket_id next_ticket();
 
-    // Suspends until the call is let in or refused; resumes on the executor
+    // Suspends until the call is admitted or refused; resumes on the executor
     // that it was called on.
     asio::awaitable<node::gate_verdict> enter(call_facts call);
 
-    // Requires: `enter` gave `admitted`.
+    // Requires: `enter` returned `admitted`.
     void finish(ticket_id ticket, call_result result);
 
-    // The caller of a waiting call went away; its `enter` gives `gone`.
+    // The caller of a waiting call has gone; the call's `enter` returns `gone`.
     void cancel(ticket_id ticket);
 
     void set_slots(std::size_t slots);
--- a/nutmegusher/routed/test_path.hpp
+++ b/nutmegusher/routed/test_path.hpp
@@ -1,5 +1,5 @@
-// For tests: the path of a routed request over real sockets, from a caller to
-// upstreams that follow a script.
+// For tests: routed requests over real sockets, from a caller to upstreams that
+// follow a script.
 #ifndef NUTMEGUSHER_ROUTED_TEST_PATH_HPP
 #define NUTMEGUSHER_ROUTED_TEST_PATH_HPP
 
@@ -33,7 +33,7 @@
 
 inline const tcp::endpoint any_port(asio::ip::make_address("127.0.0.1"), 0);
 
-// Serves each connection on a thread of its own with a script.
+// Runs a script for each connection on a thread of its own.
 class scripted_upstream
 {
 public:
@@ -128,7 +128,7 @@
     return std::string(request["nutmeg-request-id"]);
 }
 
-// One daemon's part of the path, on a thread.
+// The part of a daemon that serves routed requests, on a thread of its own.
 class routed_node
 {
 public:
@@ -225,7 +225,7 @@
         entry->shared.configuration.accept(delta);
     }
 
-    // A second upstream of the service, with a daemon of its own.
+    // Adds a second upstream of the service, with a daemon of its own.
     void start_another(scripted_upstream::script script)
     {
         other_upstream = std::make_unique<scripted_upstream>(std::move(script));
@@ -234,7 +234,7 @@
         other->start();
     }
 
-    // The daemon's upstream serves, and the entry knows it.
+    // Registers the upstream with its daemon, and the daemon with the entry.
     void announce(routed_node& node, const scripted_upstream& serves)
     {
         upstream_report new_report;
--- a/nutmegusher/routed/upstream_side.cpp
+++ b/nutmegusher/routed/upstream_side.cpp
@@ -18,10 +18,10 @@
 constexpr unsigned status_error = 400;
 constexpr unsigned status_server_error = 500;
 constexpr unsigned status_gateway_timeout = 504;
-// An upstream that can't be connected to has ended or is starting; another one
-// of its service takes the call.
+// An upstream that refuses connections has ended or is starting; another
+// upstream of the service can take the call.
 constexpr duration retry_elsewhere_after = std::chrono::milliseconds(50);
-// Without an upstream on this host or with one that leaves.
+// There is no upstream on this host, or it is leaving.
 constexpr duration retry_after_leaving = std::chrono::milliseconds(250);
 
 failed_call not_run(call_reason reason, duration retry_after)
@@ -59,7 +59,7 @@
     return unknown(call_reason::answer_broken);
 }
 
-// Holds a slot and gives it back when the upstream has no more of the call.
+// Holds a slot, and releases it when the upstream no longer works on the call.
 class held_slot
 {
 public:
@@ -97,7 +97,8 @@
     bool released_ = false;
 };
 
-// A call that is at work on the upstream, for the evidence of what ends it.
+// A call that runs on the upstream, recorded as evidence for the case that the
+// upstream crashes.
 class watched_run
 {
 public:
@@ -128,7 +129,8 @@
         }
     }
 
-    // Its connection broke; it is remembered, as the upstream may have ended.
+    // The connection broke. The run is kept as evidence, as the upstream may
+    // have crashed.
     void mark_lost()
     {
         if (!std::exchange(finished_, true))
@@ -150,7 +152,7 @@
     bool finished_ = false;
 };
 
-// The rest of a long answer; holds connection and slot.
+// The rest of a long answer; holds the connection and the slot.
 class upstream_rest final : public answer_rest
 {
 public:
@@ -261,12 +263,13 @@
     }
 
 private:
-    // Whether the call is meant for the upstream that is on this host now.
+    // Checks that the upstream now on this host is the one that the call is
+    // for.
     //
-    // Pattern of failure: a host goes, and its address is given to a host of
-    // another service while entries still believe the old one. Without this
-    // the new upstream ran what no operator ever sent there: 4 to 21 requests
-    // on a day on which addresses were used again.
+    // Pattern of failure: a host goes away, and its address is given to a host
+    // of another service while entries still use the old record. Without this
+    // check the new upstream ran requests that no operator routed to it: 4 to
+    // 21 on a day on which addresses were reused.
     [[nodiscard]] std::optional<failed_call>
     check_upstream(const std::optional<upstream_report>& to) const
     {
@@ -303,8 +306,8 @@
         co_return std::nullopt;
     }
 
-    // The upstream may have begun to leave, or given way to another one, while
-    // the call waited.
+    // The upstream may have begun to leave or been replaced while the call
+    // waited.
     asio::awaitable<routed_result> exchange()
     {
         const auto to = state_.local.current();
@@ -357,7 +360,7 @@
         co_return result;
     }
 
-    // The upstream's end, where it has ended and the call is suspected of it.
+    // Returns the upstream if it has crashed and the call is suspected of it.
     asio::awaitable<std::optional<crashed_upstream>>
     detect_crash(const upstream_report& to)
     {
@@ -410,8 +413,8 @@
             wire::find_header(head->fields, state_.names.not_run).has_value();
         if (says_not_run || head->status == status_misdirected_request)
         {
-            // It gets no more calls than it has slots: what it turns away all
-            // the same it would not have to.
+            // The upstream gets no more calls than it has slots, so a refusal
+            // counts as an error; a call for another upstream (421) doesn't.
             note_answer(head->status != status_misdirected_request);
             slot_->set_result(call_result::shed_by_upstream);
             co_await drain_body();
@@ -426,14 +429,15 @@
         co_return co_await read_body(*std::move(head));
     }
 
-    // One at the time limit says more of the call than of the upstream.
+    // A 504 says more about the call than about the upstream.
     static bool is_error(unsigned status)
     {
         return status >= status_server_error &&
                status != status_gateway_timeout;
     }
 
-    // A success must bring the upstream's signature and its own encoding.
+    // A success must carry the upstream's signature, if the dialect has one,
+    // and must not be content-encoded.
     [[nodiscard]] bool is_acceptable(const wire::response_head& head) const
     {
         if (head.status >= status_error)
@@ -466,14 +470,14 @@
             note_answer(true);
             break;
         default:
-            // Lost, broken off or no answer at all. Without this an upstream
-            // that loses two answers in five got its whole share of what may
-            // not be repeated.
+            // The answer broke off or was malformed, or the call wasn't
+            // answered. Otherwise an upstream that loses two answers in five
+            // got its full share of unrepeatable calls.
             note_answer(true);
         }
     }
 
-    // So that the connection can be used again.
+    // Allows the connection to be reused.
     asio::awaitable<void> drain_body()
     {
         std::array<std::byte, chunk_bytes> chunk;
@@ -521,12 +525,13 @@
     routed_state& state_;
     const routed_call& call_;
     cancel_flag cancelled_;
-    // Declared before the call: the slot is free when the connection is.
+    // Declared before `upstream_`, so that the connection is released before
+    // the slot.
     std::unique_ptr<held_slot> slot_;
     std::unique_ptr<node::upstream_call> upstream_;
-    // Set while the upstream may be at work on the call.
+    // Set while the upstream may be working on the call.
     std::unique_ptr<watched_run> run_;
-    // The connection to the upstream broke before the whole answer.
+    // The connection to the upstream broke before the answer was complete.
     bool connection_lost_ = false;
 };
 
--- a/nutmegusher/routed/upstream_side.hpp
+++ b/nutmegusher/routed/upstream_side.hpp
@@ -8,10 +8,10 @@
 namespace nutmegusher::routed
 {
 
-// Waits for a slot, sends the call, reads the answer. Fails with `not_run`
-// only where the upstream certainly didn't run it and won't: it was never
-// sent, or the upstream says so. A call whose caller has gone is taken back
-// from the upstream at once.
+// Waits for a slot, sends the call and reads the answer. Fails with `not_run`
+// only if the upstream certainly didn't and won't run the call: it was never
+// sent, or the upstream says so. If the caller goes away, the call is cancelled
+// at the upstream at once.
 asio::awaitable<routed_result> run_on_upstream(
     node::worker& worker,
     routed_state& state,
--- a/nutmegusher/routes/route_table.cpp
+++ b/nutmegusher/routes/route_table.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-// Policy knows ranks 0 to 9; what an operator ranks lower is refused first
-// together.
+// Policy has ranks 0 to 9; all higher numbers in a document count as 9 and are
+// refused first.
 constexpr std::uint32_t lowest_rank = 9;
 
 std::string lower_case_host(std::string_view host)
--- a/nutmegusher/routes/route_table.hpp
+++ b/nutmegusher/routes/route_table.hpp
@@ -23,49 +23,49 @@
     double share = 1;
 };
 
-// One route, as decisions use it.
+// One route, in the form that routing decisions use.
 struct request_route
 {
     std::string name;
     std::string path_prefix;
-    // May run more than once.
+    // Whether a request may run more than once.
     bool repeatable = false;
-    // Long answers.
+    // Whether answers are long transfers.
     bool bulk = false;
-    // The longest time that a caller is kept waiting.
+    // The longest time that a caller waits for an answer.
     duration deadline{0};
-    // An answer within it is on time; zero: none was set.
+    // The latency within which an answer is on time; zero: none is set.
     duration target{0};
     // 0 is refused last; at most 9.
     std::uint8_t rank = 0;
-    // Upstreams that one request may be sent to.
+    // How many upstreams one request may be sent to.
     std::uint32_t max_tries = 1;
     std::vector<destination> destinations;
     // `stable_hash` of the name.
     std::uint64_t hash = 0;
 
-    // One of the destinations, each with the probability of its share.
+    // Chooses one of the destinations at random, weighted by share.
     [[nodiscard]] const destination& choose(random_engine& engine) const;
 };
 
-// All routes of one document. Immutable; safe from every thread.
+// All routes of one document. Immutable and thread-safe.
 class route_table
 {
 public:
-    // No routes.
+    // Creates a table without routes.
     route_table() = default;
 
     // Requires: the document passed `check_routes`.
     [[nodiscard]] static route_table
     create(const messages::route_document& document);
 
-    // Of the routes of that host the one with the longest prefix of `path`
-    // (a query counts as part of it only behind the prefix); null where there
-    // is none. `host` may have a port; letters' case doesn't count.
+    // Returns the route of that host whose prefix of `path` is the longest, or
+    // null if there is none. The query isn't part of the path. `host` may have
+    // a port; its case is ignored.
     [[nodiscard]] const request_route*
     find(std::string_view host, std::string_view path) const;
 
-    // The operator's number of the document; 0: none yet.
+    // The operator's version of the document; 0: no document yet.
     [[nodiscard]] std::uint64_t version() const
     {
         return version_;
@@ -76,17 +76,17 @@
         return limits_;
     }
 
-    // How many different ranks below this one routes have.
+    // How many distinct ranks less important than this one the routes have.
     [[nodiscard]] std::size_t ranks_below(std::uint8_t rank) const;
 
-    // All services that some route goes to, each once.
+    // All services that routes go to, each once.
     [[nodiscard]] std::vector<service_name> services() const;
 
 private:
     std::uint64_t version_ = 0;
     messages::request_limits limits_;
     std::set<std::uint8_t> ranks_;
-    // By host; longest prefix first.
+    // Keyed by host; longest prefix first.
     std::unordered_map<std::string, std::vector<request_route>> by_host_;
 };
 
