--- a/nutmegusher/routed/entry.cpp
+++ b/nutmegusher/routed/entry.cpp
@@ -1,7 +1,7 @@
 #include "nutmegusher/routed/entry.hpp"
 
 #include "nutmegusher/routed/peer_exchange.hpp"
-#include "nutmegusher/routed/upstream_side.hpp"
+#include "nutmegusher/routed/upstream_run.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -161,7 +161,7 @@
         call_.metadata.sub_call =
             state_.sub_calls.is_reported_sub_call(route_->hash);
         if (state_.process.refuses_callers &&
-            state_.sub_calls.is_reported_request(route_->hash))
+            state_.sub_calls.is_reported_external(route_->hash))
         {
             co_await give_up(stopping());
             co_return;
@@ -257,8 +257,8 @@
             return refusal{call_reason::bad_header};
         }
         const auto timeout = field(names.time_left);
-        const auto left = node::parse_milliseconds(timeout);
-        if (!timeout.empty() && !left)
+        const auto remaining = node::parse_milliseconds(timeout);
+        if (!timeout.empty() && !remaining)
         {
             return refusal{call_reason::bad_header};
         }
@@ -273,12 +273,12 @@
         metadata.work_class = route_->hash;
         metadata.deadline =
             arrived_ +
-            std::min(left.value_or(route_->deadline), route_->deadline);
-        fill_head();
+            std::min(remaining.value_or(route_->deadline), route_->deadline);
+        copy_forwarded_fields();
         return std::nullopt;
     }
 
-    void fill_head()
+    void copy_forwarded_fields()
     {
         const auto& head = exchange_.head();
         call_.head.method = head.method;
@@ -416,11 +416,11 @@
         window.wait(rank);
         admitted_ = window.enter(rank);
         const auto now = host_clock().now();
-        const auto left = call_.metadata.deadline - now;
+        const auto remaining = call_.metadata.deadline - now;
         const auto target = call_.metadata.target > duration::zero()
                                 ? call_.metadata.target
-                                : left;
-        const auto until = now + std::min(target, left) / 2;
+                                : remaining;
+        const auto until = now + std::min(target, remaining) / 2;
         asio::steady_timer timer(worker_.context);
         while (!admitted_ && !cancelled_->requested &&
                host_clock().now() < until)
--- a/nutmegusher/routed/peer_exchange.cpp
+++ b/nutmegusher/routed/peer_exchange.cpp
@@ -1,7 +1,7 @@
 #include "nutmegusher/routed/peer_exchange.hpp"
 
 #include "nutmegusher/routed/peer_fields.hpp"
-#include "nutmegusher/routed/upstream_side.hpp"
+#include "nutmegusher/routed/upstream_run.hpp"
 
 #include <array>
 #include <charconv>
--- a/nutmegusher/routed/peer_fields.cpp
+++ b/nutmegusher/routed/peer_fields.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view shed_field = "nutmeg-shed";
 constexpr std::string_view sub_call_field = "nutmeg-sub-call";
 constexpr std::string_view crashed_field = "nutmeg-ended";
-constexpr std::string_view own_prefix = "nutmeg-";
+constexpr std::string_view daemon_prefix = "nutmeg-";
 constexpr double level_scale = 1000;
 
 constexpr unsigned repeatable_bit = 1;
@@ -259,7 +259,7 @@
     kept.reserve(fields.size());
     for (const auto& item : fields)
     {
-        if (!item.name.starts_with(own_prefix))
+        if (!item.name.starts_with(daemon_prefix))
         {
             kept.push_back(item);
         }
--- a/nutmegusher/routed/reused_address_test.cpp
+++ b/nutmegusher/routed/reused_address_test.cpp
@@ -28,7 +28,7 @@
 {
 protected:
     // Counts and answers each request.
-    scripted_upstream::script counting(std::atomic<int>& runs)
+    scripted_upstream::script counting_script(std::atomic<int>& runs)
     {
         return [&runs](tcp::socket& socket)
         {
@@ -47,7 +47,7 @@
     a_call_that_reaches_an_upstream_of_another_service_does_not_run)
 {
     std::atomic<int> runs = 0;
-    start(counting(runs));
+    start(counting_script(runs));
     upstream_node->state.local.report(report_of("statements", *upstream));
     const auto answer = ask("/pay/1", "id-1", "amount 7");
     EXPECT_EQ(answer.result_int(), 503U);
@@ -61,8 +61,8 @@
 {
     std::atomic<int> wrong = 0;
     std::atomic<int> right = 0;
-    start(counting(wrong));
-    start_another(counting(right));
+    start(counting_script(wrong));
+    start_another(counting_script(right));
     upstream_node->state.local.report(report_of("statements", *upstream));
     for (int i = 0; i < 20; ++i)
     {
@@ -77,7 +77,7 @@
 TEST_F(reused_address, the_service_is_checked_again_after_the_wait_for_a_slot)
 {
     std::atomic<int> runs = 0;
-    start(counting(runs));
+    start(counting_script(runs));
     upstream_node->state.slots.set_slots(1);
     call_facts other;
     other.ticket = upstream_node->state.slots.next_ticket();
--- a/nutmegusher/routed/routed_path_test.cpp
+++ b/nutmegusher/routed/routed_path_test.cpp
@@ -157,7 +157,7 @@
 }
 
 // Answers and counts each request.
-scripted_upstream::script counting(std::atomic<int>& runs)
+scripted_upstream::script counting_script(std::atomic<int>& runs)
 {
     return [&runs](tcp::socket& socket)
     {
@@ -173,7 +173,7 @@
 TEST_F(routed_path, a_request_waits_for_the_first_routes)
 {
     std::atomic<int> runs = 0;
-    start_without_routes(counting(runs));
+    start_without_routes(counting_script(runs));
     auto answer = std::async(
         std::launch::async,
         [this]
@@ -190,7 +190,7 @@
     routed_path, without_routes_a_request_is_refused_in_a_quarter_of_its_time)
 {
     std::atomic<int> runs = 0;
-    start_without_routes(counting(runs));
+    start_without_routes(counting_script(runs));
     const auto begin = host_clock().now();
     const auto answer = ask("/pay/1", "id-1", "amount 7");
     EXPECT_EQ(answer.result_int(), 503U);
@@ -204,7 +204,7 @@
     routed_path, a_call_whose_caller_leaves_before_the_first_routes_is_dropped)
 {
     std::atomic<int> runs = 0;
-    start_without_routes(counting(runs));
+    start_without_routes(counting_script(runs));
     {
         asio::io_context context;
         tcp::socket socket(context);
@@ -221,7 +221,7 @@
 TEST_F(routed_path, answers_and_refusals_are_counted_by_route)
 {
     std::atomic<int> runs = 0;
-    start(counting(runs));
+    start(counting_script(runs));
     EXPECT_EQ(ask("/views/1", "id-1").result_int(), 200U);
     EXPECT_EQ(ask("/views/2", "id-2").result_int(), 200U);
     EXPECT_EQ(ask("/other/", "id-3").result_int(), 404U);
@@ -270,11 +270,11 @@
     // The other upstream answers with `status`.
     void start_both(http::status status)
     {
-        start(answering(http::status::internal_server_error));
-        start_another(answering(status));
+        start(answering_script(http::status::internal_server_error));
+        start_another(answering_script(status));
     }
 
-    scripted_upstream::script answering(http::status status)
+    scripted_upstream::script answering_script(http::status status)
     {
         return [this, status](tcp::socket& socket)
         {
@@ -365,7 +365,7 @@
                 http::write(socket, answer_to(id_of(*request), "done"));
             }
         });
-    start_another(answering(http::status::ok));
+    start_another(answering_script(http::status::ok));
     int lost = 0;
     for (int i = 0; i < requests; ++i)
     {
@@ -393,7 +393,7 @@
                 http::write(socket, rejection);
             }
         });
-    start_another(answering(http::status::ok));
+    start_another(answering_script(http::status::ok));
     for (int i = 0; i < requests; ++i)
     {
         static_cast<void>(ask("/pay/1", "id-" + std::to_string(i), "amount 7"));
--- a/nutmegusher/routed/routed_state.cpp
+++ b/nutmegusher/routed/routed_state.cpp
@@ -148,7 +148,7 @@
     return found != reported_.end() && found->second;
 }
 
-bool sub_call_routes::is_reported_request(std::uint64_t route) const
+bool sub_call_routes::is_reported_external(std::uint64_t route) const
 {
     const std::scoped_lock lock(mutex_);
     const auto found = reported_.find(route);
--- a/nutmegusher/routed/routed_state.hpp
+++ b/nutmegusher/routed/routed_state.hpp
@@ -123,7 +123,7 @@
     // Whether answers report the route as one that only upstreams call.
     [[nodiscard]] bool is_reported_sub_call(std::uint64_t route) const;
     // Whether answers report that others call the route too.
-    [[nodiscard]] bool is_reported_request(std::uint64_t route) const;
+    [[nodiscard]] bool is_reported_external(std::uint64_t route) const;
 
 private:
     mutable std::mutex mutex_;
--- a/nutmegusher/routed/silent_host_test.cpp
+++ b/nutmegusher/routed/silent_host_test.cpp
@@ -22,7 +22,7 @@
                 const auto guard = asio::make_work_guard(relay_context);
                 relay_context.run();
             });
-        start(counting(runs_on_silent));
+        start(counting_script(runs_on_silent));
         put_relay_before(*upstream_node);
     }
 
@@ -68,7 +68,7 @@
         done.get_future().wait();
     }
 
-    static scripted_upstream::script counting(std::atomic<int>& runs)
+    static scripted_upstream::script counting_script(std::atomic<int>& runs)
     {
         return [&runs](tcp::socket& socket)
         {
@@ -114,7 +114,7 @@
 TEST_F(silent_host, an_unrepeatable_call_runs_on_another_upstream)
 {
     EXPECT_EQ(ask("/pay/1", "id-1", "amount 7").result_int(), 200U);
-    start_another(counting(runs_on_other));
+    start_another(counting_script(runs_on_other));
     silence();
     for (int i = 0; i < 10; ++i)
     {
@@ -128,13 +128,13 @@
 // no further call is lost to the other.
 TEST_F(silent_host, after_one_loss_calls_confirm_their_session_first)
 {
-    start_another(counting(runs_on_silent));
+    start_another(counting_script(runs_on_silent));
     put_relay_before(*other);
     for (int i = 0; i < 20; ++i)
     {
         ask("/views/1", "warm-" + std::to_string(i));
     }
-    scripted_upstream last_upstream(counting(runs_on_other));
+    scripted_upstream last_upstream(counting_script(runs_on_other));
     routed_node last("last");
     announce(last, last_upstream);
     last.start();
--- a/nutmegusher/routed/upstream_side.cpp
+++ b/nutmegusher/routed/upstream_run.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/routed/upstream_side.hpp"
+#include "nutmegusher/routed/upstream_run.hpp"
 
 #include "nutmegusher/node/upstream_client.hpp"
 
@@ -99,10 +99,10 @@
 
 // A call that runs on the upstream, recorded as evidence for the case that the
 // upstream crashes.
-class watched_run
+class tracked_run
 {
 public:
-    watched_run(node::crash_watch& crashes, std::uint64_t digest)
+    tracked_run(node::crash_watch& crashes, std::uint64_t digest)
         : crashes_(crashes)
         , digest_(digest)
         , started_at_(host_clock().now())
@@ -110,10 +110,10 @@
     {
     }
 
-    watched_run(const watched_run&) = delete;
-    watched_run& operator=(const watched_run&) = delete;
+    tracked_run(const tracked_run&) = delete;
+    tracked_run& operator=(const tracked_run&) = delete;
 
-    ~watched_run()
+    ~tracked_run()
     {
         if (!finished_)
         {
@@ -159,7 +159,7 @@
     upstream_rest(
         std::unique_ptr<node::upstream_call> call,
         std::unique_ptr<held_slot> slot,
-        std::unique_ptr<watched_run> run)
+        std::unique_ptr<tracked_run> run)
         : call_(std::move(call))
         , slot_(std::move(slot))
         , run_(std::move(run))
@@ -190,7 +190,7 @@
 private:
     std::unique_ptr<node::upstream_call> call_;
     std::unique_ptr<held_slot> slot_;
-    std::unique_ptr<watched_run> run_;
+    std::unique_ptr<tracked_run> run_;
 };
 
 call_facts facts_of(const call_metadata& metadata, ticket_id ticket)
@@ -327,7 +327,7 @@
             co_return not_run(call_reason::quarantined, retry_after_quarantine);
         }
         const auto request = make_request(*to);
-        run_ = std::make_unique<watched_run>(
+        run_ = std::make_unique<tracked_run>(
             state_.process.crashes, call_.metadata.digest);
         auto sent = co_await worker_.upstreams.send(to->address, request);
         if (!sent)
@@ -530,7 +530,7 @@
     std::unique_ptr<held_slot> slot_;
     std::unique_ptr<node::upstream_call> upstream_;
     // Set while the upstream may be working on the call.
-    std::unique_ptr<watched_run> run_;
+    std::unique_ptr<tracked_run> run_;
     // The connection to the upstream broke before the answer was complete.
     bool connection_lost_ = false;
 };
--- a/nutmegusher/routed/upstream_side.hpp
+++ b/nutmegusher/routed/upstream_run.hpp
@@ -1,6 +1,6 @@
 // Runs a routed call on the upstream of this host.
-#ifndef NUTMEGUSHER_ROUTED_UPSTREAM_SIDE_HPP
-#define NUTMEGUSHER_ROUTED_UPSTREAM_SIDE_HPP
+#ifndef NUTMEGUSHER_ROUTED_UPSTREAM_RUN_HPP
+#define NUTMEGUSHER_ROUTED_UPSTREAM_RUN_HPP
 
 #include "nutmegusher/routed/routed_call.hpp"
 #include "nutmegusher/routed/routed_state.hpp"
--- a/nutmegusher/routes/route_table_test.cpp
+++ b/nutmegusher/routes/route_table_test.cpp
@@ -24,7 +24,7 @@
     return route;
 }
 
-TEST(route_table, the_longest_prefix_of_the_host_holds)
+TEST(route_table, the_longest_prefix_of_the_host_wins)
 {
     messages::route_document document;
     add_route(document, "a.example", "/");
@@ -66,7 +66,7 @@
     EXPECT_EQ(table.services().size(), 3U);
 }
 
-TEST(route_table, ranks_beyond_the_last_are_refused_first_together)
+TEST(route_table, ranks_above_the_last_count_as_the_last)
 {
     messages::route_document document;
     add_route(document, "a.example", "/").set_rank(70);
