--- a/nutmegusher/routed/peer_exchange.hpp
+++ b/nutmegusher/routed/peer_exchange.hpp
@@ -24,7 +24,7 @@
     bool broken = false;
 };
 
-// The load report of this host's upstream for the answer to such a call.
+// The load report of this host's upstream for the answer to a routed call.
 //
 // For a bulk transfer it holds only the shed level of the upstream's own
 // service, not the levels of the services that it calls: otherwise 43 in 100
--- a/nutmegusher/routed/peer_fields.cpp
+++ b/nutmegusher/routed/peer_fields.cpp
@@ -130,7 +130,7 @@
     return text;
 }
 
-// Skips malformed items: levels are hints.
+// Skips malformed items: shed levels are only hints.
 std::vector<shed_level> parse_shed(std::string_view text)
 {
     std::vector<shed_level> levels;
--- a/nutmegusher/routed/routed_call.hpp
+++ b/nutmegusher/routed/routed_call.hpp
@@ -91,8 +91,8 @@
     answer_rest& operator=(const answer_rest&) = delete;
     virtual ~answer_rest() = default;
 
-    // Returns the number of bytes read, at least one; 0 at the clean end, nullopt
-    // if the answer broke off.
+    // Returns the number of bytes read, at least one; 0 at the clean end,
+    // nullopt if the answer broke off.
     virtual asio::awaitable<std::optional<std::size_t>>
     read_some(std::span<std::byte> into) = 0;
 };
--- a/nutmegusher/routed/routed_state.hpp
+++ b/nutmegusher/routed/routed_state.hpp
@@ -49,7 +49,8 @@
     // An answer to a request of the route reported these levels.
     void record(std::uint64_t route, std::span<const shed_level> levels);
 
-    // The same, for a request that this host's own upstream made.
+    // An answer to a call that this host's upstream made to the service
+    // reported these levels.
     void record_sub_call(
         const service_name& called, std::span<const shed_level> levels);
 
@@ -122,7 +123,8 @@
     void on_report(std::uint64_t route, bool is_sub_call);
     // Whether answers report the route as one that only upstreams call.
     [[nodiscard]] bool is_reported_sub_call(std::uint64_t route) const;
-    // Whether answers report that others call the route too.
+    // Whether answers report the route as not only called by upstreams; false
+    // before the first report.
     [[nodiscard]] bool is_reported_external(std::uint64_t route) const;
 
 private:
--- a/nutmegusher/routes/route_table.hpp
+++ b/nutmegusher/routes/route_table.hpp
@@ -59,9 +59,9 @@
     [[nodiscard]] static route_table
     create(const messages::route_document& document);
 
-    // Returns the route of that host whose prefix of `path` is the longest, or
-    // null if there is none. The query isn't part of the path. `host` may have
-    // a port; its case is ignored.
+    // Returns the route of the host with the longest prefix that matches
+    // `path`, or null if none matches. A query in `path` is ignored. `host` may
+    // have a port; its case is ignored.
     [[nodiscard]] const request_route*
     find(std::string_view host, std::string_view path) const;
 
