--- a/nutmegusher/routed/reused_address_test.cpp
+++ b/nutmegusher/routed/reused_address_test.cpp
@@ -1,5 +1,5 @@
-// Hosts that have gone and whose addresses others have taken: a call runs on an
-// upstream of the service that it is for, or is proved not to have run.
+// Hosts that are gone and whose addresses other hosts have taken over: a call
+// runs on an upstream of its own service, or is proved not to have run.
 #include "nutmegusher/routed/test_path.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -27,8 +27,8 @@
 class reused_address : public routed_path
 {
 protected:
-    // Counts and answers.
-    scripted_upstream::script counting(std::atomic<int>& runs)
+    // Counts and answers each request.
+    scripted_upstream::script counting_script(std::atomic<int>& runs)
     {
         return [&runs](tcp::socket& socket)
         {
@@ -47,7 +47,7 @@
     a_call_that_reaches_an_upstream_of_another_service_does_not_run)
 {
     std::atomic<int> runs = 0;
-    start(counting(runs));
+    start(counting_script(runs));
     upstream_node->state.local.report(report_of("statements", *upstream));
     const auto answer = ask("/pay/1", "id-1", "amount 7");
     EXPECT_EQ(answer.result_int(), 503U);
@@ -56,13 +56,13 @@
     EXPECT_EQ(runs, 0);
 }
 
-// Also one that may not be repeated, and each of them within one request.
+// Also if the call may not be repeated, and without a retry by the caller.
 TEST_F(reused_address, a_call_runs_on_another_upstream_of_its_service)
 {
     std::atomic<int> wrong = 0;
     std::atomic<int> right = 0;
-    start(counting(wrong));
-    start_another(counting(right));
+    start(counting_script(wrong));
+    start_another(counting_script(right));
     upstream_node->state.local.report(report_of("statements", *upstream));
     for (int i = 0; i < 20; ++i)
     {
@@ -73,11 +73,11 @@
     EXPECT_EQ(right, 20);
 }
 
-// The upstream gives way to one of another service while the call waits.
+// The upstream is replaced by one of another service while the call waits.
 TEST_F(reused_address, the_service_is_checked_again_after_the_wait_for_a_slot)
 {
     std::atomic<int> runs = 0;
-    start(counting(runs));
+    start(counting_script(runs));
     upstream_node->state.slots.set_slots(1);
     call_info other;
     other.ticket = upstream_node->state.slots.next_ticket();
--- a/nutmegusher/routed/silent_host_test.cpp
+++ b/nutmegusher/routed/silent_host_test.cpp
@@ -1,4 +1,4 @@
-// Hosts that lose power under the sessions of their callers.
+// Hosts that lose power while callers have open sessions to them.
 #include "nutmegusher/routed/test_path.hpp"
 #include "nutmegusher/wire/wire_test_relay.hpp"
 
@@ -9,8 +9,8 @@
 
 using namespace test_path;
 
-// The ways to daemons lead through relays that can lose track of their
-// connections.
+// Connects to the daemons through TCP relays that can stop forwarding while
+// their connections stay open.
 class silent_host : public routed_path
 {
 protected:
@@ -22,7 +22,7 @@
                 const auto guard = asio::make_work_guard(relay_context);
                 relay_context.run();
             });
-        start(counting(runs_on_silent));
+        start(counting_script(runs_on_silent));
         put_relay_before(*upstream_node);
     }
 
@@ -54,7 +54,7 @@
         entry->shared.routes.update(service_name("balances"), records);
     }
 
-    // Runs it on the relays' thread.
+    // Runs `action` on the relays' thread.
     template <class Action>
     void on_relays(Action action)
     {
@@ -68,7 +68,7 @@
         done.get_future().wait();
     }
 
-    static scripted_upstream::script counting(std::atomic<int>& runs)
+    static scripted_upstream::script counting_script(std::atomic<int>& runs)
     {
         return [&runs](tcp::socket& socket)
         {
@@ -91,7 +91,7 @@
                     each->silence();
                 }
             });
-        // Longer than a peer counts as heard from.
+        // Longer than a session is trusted without having received anything.
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
 
@@ -114,7 +114,7 @@
 TEST_F(silent_host, an_unrepeatable_call_runs_on_another_upstream)
 {
     EXPECT_EQ(ask("/pay/1", "id-1", "amount 7").result_int(), 200U);
-    start_another(counting(runs_on_other));
+    start_another(counting_script(runs_on_other));
     silence();
     for (int i = 0; i < 10; ++i)
     {
@@ -124,17 +124,17 @@
     EXPECT_EQ(runs_on_silent + runs_on_other, 11);
 }
 
-// Two hosts of three go at once: the loss of a call shows the first one, and
-// no other call is lost to the second.
+// Two hosts of three go silent together: the first lost call reveals one, and
+// no further call is lost to the other.
 TEST_F(silent_host, after_one_loss_calls_confirm_their_session_first)
 {
-    start_another(counting(runs_on_silent));
+    start_another(counting_script(runs_on_silent));
     put_relay_before(*other);
     for (int i = 0; i < 20; ++i)
     {
         ask("/views/1", "warm-" + std::to_string(i));
     }
-    scripted_upstream last_upstream(counting(runs_on_other));
+    scripted_upstream last_upstream(counting_script(runs_on_other));
     routed_node last("last");
     announce(last, last_upstream);
     last.start();
