--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -322,14 +322,14 @@
         auto& member = *members.add_members();
         member.set_identity(1);
         member.set_voter(true);
-        static_cast<void>(group::found(*target, 0, members));
+        static_cast<void>(group::bootstrap(*target, 0, members));
         auto made = group::open(settings, policy, *target, true, engine, now);
         auto& opened = **made;
         while (opened.core().role() != replica_role::leader)
         {
             now += std::chrono::milliseconds(100);
             opened.core().tick(now);
-            static_cast<void>(opened.turn(listener, now));
+            static_cast<void>(opened.process_ready(listener, now));
         }
         for (std::uint64_t i = 0; i < count; ++i)
         {
@@ -338,16 +338,16 @@
             static_cast<void>(opened.core().propose(entry, now));
             if (i % 100 == 99)
             {
-                static_cast<void>(opened.turn(listener, now));
+                static_cast<void>(opened.process_ready(listener, now));
             }
         }
-        static_cast<void>(opened.turn(listener, now));
+        static_cast<void>(opened.process_ready(listener, now));
     }
     const auto begun = host_clock().now();
     auto target = file_disk::open(folder);
     auto made = group::open(settings, policy, *target, true, engine, begun);
     auto& opened = **made;
-    static_cast<void>(opened.turn(listener, begun));
+    static_cast<void>(opened.process_ready(listener, begun));
     const auto spent = milliseconds(host_clock().now() - begun);
     std::printf(
         "restart changes=%llu snapshot=%s time=%.1fms revision=%llu "
--- a/nutmegusher/control/catch_up_test.cpp
+++ b/nutmegusher/control/catch_up_test.cpp
@@ -30,16 +30,16 @@
 constexpr std::size_t document_bytes = 165'000;
 constexpr std::size_t documents = 120;
 // 86 Mbit/s, of which daemons take a half.
-constexpr double line_bytes_per_second = 5'400'000;
+constexpr double link_bytes_per_second = 5'400'000;
 // What an operator may expect of a repair: above the time that the log's bytes
 // take on the line, far below the time between two losses.
 constexpr seconds repair_limit{10};
 
 // With the snapshots that are usual, and with none: then each document is sent.
-class emptied_host : public testing::TestWithParam<bool>
+class wiped_host : public testing::TestWithParam<bool>
 {
 protected:
-    emptied_host()
+    wiped_host()
         : hosts(5, 1, policy(GetParam()))
     {
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    void empty(std::size_t number)
+    void wipe_disk(std::size_t number)
     {
         hosts.hosts[number].replace_disk();
         ASSERT_TRUE(hosts.hosts[number].start());
@@ -90,8 +90,9 @@
         return hosts.run_until(
             [this]
             {
-                auto* const leads = hosts.leader();
-                return leads != nullptr && hosts.repair(*leads);
+                auto* const current_leader = hosts.leader();
+                return current_leader != nullptr &&
+                       hosts.repair(*current_leader);
             },
             limit);
     }
@@ -100,21 +101,21 @@
     std::size_t installed = 0;
 };
 
-TEST_P(emptied_host, votes_again_soon_behind_a_long_log_and_a_slow_line)
+TEST_P(wiped_host, votes_again_soon_behind_a_long_log_and_a_slow_line)
 {
     install(documents);
-    hosts.line = network_line{line_bytes_per_second};
-    empty(0);
+    hosts.link = network_link{link_bytes_per_second};
+    wipe_disk(0);
     EXPECT_TRUE(repaired(repair_limit));
     EXPECT_EQ(hosts.violation(), "");
 }
 
 // The others go on changing the configuration meanwhile.
-TEST_P(emptied_host, votes_again_soon_while_documents_follow)
+TEST_P(wiped_host, votes_again_soon_while_documents_follow)
 {
     install(documents);
-    hosts.line = network_line{line_bytes_per_second};
-    empty(0);
+    hosts.link = network_link{link_bytes_per_second};
+    wipe_disk(0);
     for (int change = 0; change < 20; ++change)
     {
         install(1);
@@ -126,13 +127,13 @@
 
 // Two disks are lost one after the other, with time for a repair between them,
 // then all lose power and two of those that are left their disks as well.
-TEST_P(emptied_host, a_majority_outlives_two_more_losses_after_two_repairs)
+TEST_P(wiped_host, a_majority_outlives_two_more_losses_after_two_repairs)
 {
     install(documents);
-    hosts.line = network_line{line_bytes_per_second};
+    hosts.link = network_link{link_bytes_per_second};
     for (const std::size_t lost : {0, 1})
     {
-        empty(lost);
+        wipe_disk(lost);
         static_cast<void>(repaired(repair_limit));
     }
     for (auto& each : hosts.hosts)
@@ -156,7 +157,7 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-INSTANTIATE_TEST_SUITE_P(snapshots, emptied_host, testing::Bool());
+INSTANTIATE_TEST_SUITE_P(snapshots, wiped_host, testing::Bool());
 
 } // namespace
 } // namespace nutmegusher::control_test
--- a/nutmegusher/control/configuration_check.cpp
+++ b/nutmegusher/control/configuration_check.cpp
@@ -10,16 +10,17 @@
 namespace
 {
 
-using finding = std::optional<configuration_problem>;
+using optional_problem = std::optional<configuration_problem>;
 
-finding found(messages::change_problem problem, std::string field)
+optional_problem
+make_problem(messages::change_problem problem, std::string field)
 {
     return configuration_problem{problem, std::move(field)};
 }
 
-bool is_visible(char letter)
+bool is_visible(char character)
 {
-    return letter > ' ' && letter <= '~';
+    return character > ' ' && character <= '~';
 }
 
 bool all_visible(std::string_view text)
@@ -27,66 +28,67 @@
     return std::all_of(text.begin(), text.end(), is_visible);
 }
 
-bool is_name_letter(char letter)
+bool is_name_letter(char character)
 {
-    return (letter >= 'a' && letter <= 'z') ||
-           (letter >= '0' && letter <= '9') || letter == '-' || letter == '_' ||
-           letter == '.';
+    return (character >= 'a' && character <= 'z') ||
+           (character >= '0' && character <= '9') || character == '-' ||
+           character == '_' || character == '.';
 }
 
 bool is_name(std::string_view text)
 {
-    return text.size() <= longest_name &&
+    return text.size() <= max_name_length &&
            std::all_of(text.begin(), text.end(), is_name_letter);
 }
 
 bool is_method(std::string_view text)
 {
-    const auto is_upper = [](char letter)
+    const auto is_upper = [](char character)
     {
-        return letter >= 'A' && letter <= 'Z';
+        return character >= 'A' && character <= 'Z';
     };
-    return text.size() <= longest_method &&
+    return text.size() <= max_method_length &&
            std::all_of(text.begin(), text.end(), is_upper);
 }
 
 bool is_path_prefix(std::string_view text)
 {
-    return text.starts_with('/') && text.size() <= longest_path_prefix &&
+    return text.starts_with('/') && text.size() <= max_path_prefix_length &&
            all_visible(text);
 }
 
-finding check_name(std::string_view name, const std::string& field)
+optional_problem check_name(std::string_view name, const std::string& field)
 {
     if (name.empty())
     {
-        return found(messages::problem_empty_name, field);
+        return make_problem(messages::problem_empty_name, field);
     }
     if (!is_name(name))
     {
-        return found(messages::problem_bad_name, field);
+        return make_problem(messages::problem_bad_name, field);
     }
     return std::nullopt;
 }
 
-finding
+optional_problem
 check_target(const messages::class_target& target, const std::string& field)
 {
-    if (target.latency_ms() == 0 || target.latency_ms() > longest_latency_ms)
+    if (target.latency_ms() == 0 || target.latency_ms() > max_latency_ms)
     {
-        return found(
+        return make_problem(
             messages::problem_latency_out_of_range, field + ".latency_ms");
     }
-    if (target.completion_ppm() == 0 || target.completion_ppm() > whole_ppm)
+    if (target.completion_ppm() == 0 ||
+        target.completion_ppm() > max_completion_ppm)
     {
-        return found(
+        return make_problem(
             messages::problem_completion_out_of_range,
             field + ".completion_ppm");
     }
     return std::nullopt;
 }
 
-finding check_class(const messages::work_class& declared)
+optional_problem check_class(const messages::work_class& declared)
 {
     if (auto problem = check_name(declared.name(), "declare.name"))
     {
@@ -94,28 +96,28 @@
     }
     if (declared.service().empty())
     {
-        return found(messages::problem_empty_service, "declare.service");
+        return make_problem(messages::problem_empty_service, "declare.service");
     }
     if (!is_name(declared.service()))
     {
-        return found(messages::problem_bad_name, "declare.service");
+        return make_problem(messages::problem_bad_name, "declare.service");
     }
     if (!is_method(declared.method()))
     {
-        return found(messages::problem_bad_method, "declare.method");
+        return make_problem(messages::problem_bad_method, "declare.method");
     }
     if (!is_path_prefix(declared.path_prefix()))
     {
-        return found(messages::problem_bad_path, "declare.path_prefix");
+        return make_problem(messages::problem_bad_path, "declare.path_prefix");
     }
-    if (declared.rank() > highest_rank)
+    if (declared.rank() > max_rank)
     {
-        return found(messages::problem_rank_too_high, "declare.rank");
+        return make_problem(messages::problem_rank_too_high, "declare.rank");
     }
     return check_target(declared.target(), "declare.target");
 }
 
-finding check_action(const messages::change& change)
+optional_problem check_action(const messages::change& change)
 {
     switch (change.action_case())
     {
@@ -135,7 +137,7 @@
     case messages::change::ACTION_NOT_SET:
         break;
     }
-    return found(messages::problem_missing_action, "action");
+    return make_problem(messages::problem_missing_action, "action");
 }
 
 } // namespace
@@ -144,13 +146,13 @@
 check_change(const messages::change& change)
 {
     const auto& id = change.change_id();
-    if (id.empty() || id.size() > longest_change_id || !all_visible(id))
+    if (id.empty() || id.size() > max_change_id_length || !all_visible(id))
     {
-        return found(messages::problem_missing_change_id, "change_id");
+        return make_problem(messages::problem_missing_change_id, "change_id");
     }
-    if (change.author().size() > longest_author)
+    if (change.author().size() > max_author_length)
     {
-        return found(messages::problem_bad_author, "author");
+        return make_problem(messages::problem_bad_author, "author");
     }
     return check_action(change);
 }
--- a/nutmegusher/control/configuration_check.hpp
+++ b/nutmegusher/control/configuration_check.hpp
@@ -13,15 +13,15 @@
 namespace nutmegusher
 {
 
-inline constexpr std::size_t longest_name = 64;
-inline constexpr std::size_t longest_path_prefix = 256;
-inline constexpr std::size_t longest_method = 16;
-inline constexpr std::size_t longest_change_id = 128;
-inline constexpr std::size_t longest_author = 128;
-inline constexpr std::uint32_t highest_rank = 9;
+inline constexpr std::size_t max_name_length = 64;
+inline constexpr std::size_t max_path_prefix_length = 256;
+inline constexpr std::size_t max_method_length = 16;
+inline constexpr std::size_t max_change_id_length = 128;
+inline constexpr std::size_t max_author_length = 128;
+inline constexpr std::uint32_t max_rank = 9;
 // An hour: a large dossier over a slow line.
-inline constexpr std::uint32_t longest_latency_ms = 3'600'000;
-inline constexpr std::uint32_t whole_ppm = 1'000'000;
+inline constexpr std::uint32_t max_latency_ms = 3'600'000;
+inline constexpr std::uint32_t max_completion_ppm = 1'000'000;
 
 // A typed problem and the field that has it, as a path: "declare.target".
 struct configuration_problem
--- a/nutmegusher/control/configuration_store.cpp
+++ b/nutmegusher/control/configuration_store.cpp
@@ -45,7 +45,7 @@
 
 // Does one accepted change to a map or to any other keeper of classes.
 template <class Put, class Find, class Remove>
-void perform_change(
+void apply_accepted_change(
     const messages::accepted_change& accepted,
     const Put& put,
     const Find& find,
@@ -88,7 +88,7 @@
 messages::change_result
 configuration_store::apply(const messages::change& change)
 {
-    const bool repeated = is_remembered(change);
+    const bool repeated = has_result_for(change);
     auto result = check(change);
     if (repeated)
     {
@@ -96,29 +96,29 @@
     }
     if (result.verdict() == messages::change_accepted)
     {
-        perform(change);
+        commit_change(change);
     }
     const bool accepted = result.verdict() == messages::change_accepted;
     if (!change.change_id().empty() &&
         (accepted || !change.has_install_routes()))
     {
-        remember(change, result);
+        record_result(change, result);
     }
     return result;
 }
 
-bool configuration_store::is_remembered(const messages::change& change) const
+bool configuration_store::has_result_for(const messages::change& change) const
 {
-    return remembered_.contains(change.change_id());
+    return results_.contains(change.change_id());
 }
 
 messages::change_result
 configuration_store::check(const messages::change& change) const
 {
-    const auto known = remembered_.find(change.change_id());
-    if (known == remembered_.end())
+    const auto known = results_.find(change.change_id());
+    if (known == results_.end())
     {
-        return judge(change);
+        return validate(change);
     }
     if (known->second.digest != digest_of(change))
     {
@@ -128,7 +128,7 @@
 }
 
 messages::change_result
-configuration_store::judge(const messages::change& change) const
+configuration_store::validate(const messages::change& change) const
 {
     if (auto problem = check_change(change))
     {
@@ -136,7 +136,7 @@
     }
     if (change.has_install_routes())
     {
-        return judge_routes(change.install_routes());
+        return validate_routes(change.install_routes());
     }
     const auto name = changed_class_name(change);
     const auto present = class_revision(name);
@@ -161,7 +161,7 @@
     return refused(messages::change_accepted, revision_.next());
 }
 
-messages::change_result configuration_store::judge_routes(
+messages::change_result configuration_store::validate_routes(
     const messages::route_document& document) const
 {
     if (document.based_on() != routes_.version())
@@ -199,13 +199,13 @@
         });
 }
 
-void configuration_store::perform(const messages::change& change)
+void configuration_store::commit_change(const messages::change& change)
 {
     revision_ = revision_.next();
     messages::accepted_change accepted;
     accepted.set_revision(revision_.value());
     *accepted.mutable_what() = change;
-    perform_change(
+    apply_accepted_change(
         accepted,
         [this](messages::work_class declared)
         {
@@ -233,15 +233,15 @@
     }
 }
 
-void configuration_store::remember(
+void configuration_store::record_result(
     const messages::change& change, const messages::change_result& answer)
 {
-    remembered_[change.change_id()] = {digest_of(change), answer};
-    remembered_order_.push_back(change.change_id());
-    if (remembered_order_.size() > limits_.remembered)
+    results_[change.change_id()] = {digest_of(change), answer};
+    result_order_.push_back(change.change_id());
+    if (result_order_.size() > limits_.remembered)
     {
-        remembered_.erase(remembered_order_.front());
-        remembered_order_.pop_front();
+        results_.erase(result_order_.front());
+        result_order_.pop_front();
     }
 }
 
@@ -261,7 +261,7 @@
 }
 
 messages::configuration_delta
-configuration_store::since(nutmegusher::revision from) const
+configuration_store::delta_since(nutmegusher::revision from) const
 {
     messages::configuration_delta delta;
     if (from >= revision_)
@@ -294,9 +294,9 @@
     {
         *state.add_history() = accepted;
     }
-    for (const auto& id : remembered_order_)
+    for (const auto& id : result_order_)
     {
-        const auto& known = remembered_.at(id);
+        const auto& known = results_.at(id);
         auto& kept = *state.add_remembered();
         kept.set_change_id(id);
         kept.set_digest(known.digest);
@@ -327,8 +327,8 @@
     }
     for (const auto& kept : state.remembered())
     {
-        store.remembered_[kept.change_id()] = {kept.digest(), kept.answer()};
-        store.remembered_order_.push_back(kept.change_id());
+        store.results_[kept.change_id()] = {kept.digest(), kept.answer()};
+        store.result_order_.push_back(kept.change_id());
     }
     return store;
 }
@@ -355,7 +355,7 @@
     };
     for (const auto& accepted : delta.changes())
     {
-        perform_change(
+        apply_accepted_change(
             accepted,
             [&](messages::work_class declared)
             {
--- a/nutmegusher/control/configuration_store.hpp
+++ b/nutmegusher/control/configuration_store.hpp
@@ -65,7 +65,7 @@
     check(const messages::change& change) const;
 
     // True where the change id has its answer, which `check` then gives.
-    [[nodiscard]] bool is_remembered(const messages::change& change) const;
+    [[nodiscard]] bool has_result_for(const messages::change& change) const;
 
     [[nodiscard]] nutmegusher::revision revision() const
     {
@@ -78,7 +78,7 @@
     // What leads from `from` to the present: the changes, or all of it where
     // they aren't kept any more. Empty where `from` is the present.
     [[nodiscard]] messages::configuration_delta
-    since(nutmegusher::revision from) const;
+    delta_since(nutmegusher::revision from) const;
 
     // Accepted changes, oldest first; at most `limits.history`.
     [[nodiscard]] const std::deque<messages::accepted_change>& history() const
@@ -93,21 +93,21 @@
     restore(std::string_view bytes);
 
 private:
-    struct remembered_answer
+    struct recorded_result
     {
         std::uint64_t digest = 0;
         messages::change_result answer;
     };
 
     [[nodiscard]] messages::change_result
-    judge_routes(const messages::route_document& document) const;
+    validate_routes(const messages::route_document& document) const;
     [[nodiscard]] nutmegusher::revision
     class_revision(std::string_view name) const;
     [[nodiscard]] messages::change_result
-    judge(const messages::change& change) const;
+    validate(const messages::change& change) const;
     [[nodiscard]] bool overlaps(const messages::work_class& declared) const;
-    void perform(const messages::change& change);
-    void remember(
+    void commit_change(const messages::change& change);
+    void record_result(
         const messages::change& change, const messages::change_result& answer);
 
     configuration_limits limits_;
@@ -116,8 +116,8 @@
     messages::route_document routes_;
     // A change of routes stands here without its content.
     std::deque<messages::accepted_change> history_;
-    std::map<std::string, remembered_answer, std::less<>> remembered_;
-    std::deque<std::string> remembered_order_;
+    std::map<std::string, recorded_result, std::less<>> results_;
+    std::deque<std::string> result_order_;
 };
 
 // The configuration after `delta`. Requires: `delta` was made for its revision.
--- a/nutmegusher/control/configuration_store_test.cpp
+++ b/nutmegusher/control/configuration_store_test.cpp
@@ -127,7 +127,7 @@
     EXPECT_EQ(problem(change).first, messages::problem_missing_action);
 }
 
-TEST(configuration_store, gives_all_where_the_changes_are_not_kept)
+TEST(configuration_store, sends_the_full_configuration_once_changes_are_dropped)
 {
     configuration_store store({10, 3, 100});
     for (int i = 0; i < 6; ++i)
@@ -135,9 +135,9 @@
         store.apply(
             declare("c" + std::to_string(i), "n" + std::to_string(i), 0));
     }
-    EXPECT_EQ(store.since(revision(3)).changes_size(), 3);
-    EXPECT_TRUE(store.since(revision(2)).has_full());
-    EXPECT_EQ(store.since(revision(6)).changes_size(), 0);
+    EXPECT_EQ(store.delta_since(revision(3)).changes_size(), 3);
+    EXPECT_TRUE(store.delta_since(revision(2)).has_full());
+    EXPECT_EQ(store.delta_since(revision(6)).changes_size(), 0);
 }
 
 // Whatever comes: revisions only rise by one, deltas lead from any revision to
@@ -163,7 +163,7 @@
                                       *rc::gen::inRange<std::uint32_t>(1, 9))
                                 : remove_class(id, name, based_on);
         const auto before = store.revision();
-        const bool repeated = store.is_remembered(change);
+        const bool repeated = store.has_result_for(change);
         const auto result = store.apply(change);
         const bool moved =
             !repeated && result.verdict() == messages::change_accepted;
@@ -178,7 +178,7 @@
     const auto present = store.present();
     for (auto old : past)
     {
-        apply_delta(old, restored->since(revision(old.revision())));
+        apply_delta(old, restored->delta_since(revision(old.revision())));
         RC_ASSERT(old.revision() == store.revision().value());
         RC_ASSERT(old.classes_size() == present.classes_size());
         for (const auto& declared : present.classes())
--- a/nutmegusher/control/file_disk.cpp
+++ b/nutmegusher/control/file_disk.cpp
@@ -54,11 +54,11 @@
         return fail(storage_fault::read_failed, file, errno);
     }
     std::string content(static_cast<std::size_t>(status.st_size), '\0');
-    std::size_t have = 0;
-    while (have < content.size())
+    std::size_t total_read = 0;
+    while (total_read < content.size())
     {
-        const auto count =
-            ::read(source, content.data() + have, content.size() - have);
+        const auto count = ::read(
+            source, content.data() + total_read, content.size() - total_read);
         if (count < 0 && errno == EINTR)
         {
             continue;
@@ -71,9 +71,9 @@
         {
             break;
         }
-        have += static_cast<std::size_t>(count);
+        total_read += static_cast<std::size_t>(count);
     }
-    content.resize(have);
+    content.resize(total_read);
     return content;
 }
 
--- a/nutmegusher/control/frame.cpp
+++ b/nutmegusher/control/frame.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-constexpr std::string_view frame_mark = "nmf1";
+constexpr std::string_view frame_magic = "nmf1";
 constexpr std::size_t length_offset = 4;
 constexpr std::size_t checksum_offset = 8;
 
 template <class Number>
-void put_number(std::string& target, Number value)
+void append_little_endian(std::string& target, Number value)
 {
     for (std::size_t i = 0; i < sizeof(Number); ++i)
     {
@@ -26,7 +26,7 @@
 }
 
 template <class Number>
-Number get_number(std::string_view bytes)
+Number read_little_endian(std::string_view bytes)
 {
     Number value = 0;
     for (std::size_t i = sizeof(Number); i > 0; --i)
@@ -44,21 +44,21 @@
 }
 
 // The content of the frame at the start of `bytes`, if it is intact.
-std::optional<std::string_view> first_frame(std::string_view bytes)
+std::optional<std::string_view> parse_first_frame(std::string_view bytes)
 {
-    if (bytes.size() < frame_overhead || !bytes.starts_with(frame_mark))
+    if (bytes.size() < frame_overhead || !bytes.starts_with(frame_magic))
     {
         return std::nullopt;
     }
     const auto length =
-        get_number<std::uint32_t>(bytes.substr(length_offset, 4));
+        read_little_endian<std::uint32_t>(bytes.substr(length_offset, 4));
     if (length > bytes.size() - frame_overhead)
     {
         return std::nullopt;
     }
     const auto content = bytes.substr(frame_overhead, length);
     const auto expected =
-        get_number<std::uint64_t>(bytes.substr(checksum_offset, 8));
+        read_little_endian<std::uint64_t>(bytes.substr(checksum_offset, 8));
     if (checksum(content) != expected)
     {
         return std::nullopt;
@@ -66,12 +66,12 @@
     return content;
 }
 
-bool holds_intact_frame(std::string_view bytes)
+bool contains_intact_frame(std::string_view bytes)
 {
-    for (auto at = bytes.find(frame_mark); at != std::string_view::npos;
-         at = bytes.find(frame_mark, at + 1))
+    for (auto at = bytes.find(frame_magic); at != std::string_view::npos;
+         at = bytes.find(frame_magic, at + 1))
     {
-        if (first_frame(bytes.substr(at)))
+        if (parse_first_frame(bytes.substr(at)))
         {
             return true;
         }
@@ -84,9 +84,9 @@
 void append_frame(std::string& target, std::string_view content)
 {
     target.reserve(target.size() + frame_overhead + content.size());
-    target.append(frame_mark);
-    put_number(target, static_cast<std::uint32_t>(content.size()));
-    put_number(target, checksum(content));
+    target.append(frame_magic);
+    append_little_endian(target, static_cast<std::uint32_t>(content.size()));
+    append_little_endian(target, checksum(content));
     target.append(content);
 }
 
@@ -97,7 +97,7 @@
     auto rest = bytes;
     while (!rest.empty())
     {
-        const auto content = first_frame(rest);
+        const auto content = parse_first_frame(rest);
         if (!content)
         {
             break;
@@ -105,11 +105,11 @@
         scan.contents.push_back(*content);
         rest.remove_prefix(frame_overhead + content->size());
     }
-    scan.whole_size = bytes.size() - rest.size();
-    if (!rest.empty() && holds_intact_frame(rest.substr(1)))
+    scan.intact_size = bytes.size() - rest.size();
+    if (!rest.empty() && contains_intact_frame(rest.substr(1)))
     {
         return leaf::new_error(storage_failure{
-            storage_fault::bad_checksum, std::string(file), scan.whole_size});
+            storage_fault::bad_checksum, std::string(file), scan.intact_size});
     }
     return scan;
 }
@@ -117,7 +117,7 @@
 leaf::result<std::string_view>
 single_frame(std::string_view bytes, std::string_view file)
 {
-    const auto content = first_frame(bytes);
+    const auto content = parse_first_frame(bytes);
     if (!content || content->size() + frame_overhead != bytes.size())
     {
         return leaf::new_error(
--- a/nutmegusher/control/frame.hpp
+++ b/nutmegusher/control/frame.hpp
@@ -27,7 +27,7 @@
     // Views into the scanned bytes.
     std::vector<std::string_view> contents;
     // Bytes of whole frames; what follows is a torn tail.
-    std::uint64_t whole_size = 0;
+    std::uint64_t intact_size = 0;
 };
 
 // Reads all frames of `bytes`. Fails with `storage_failure` `bad_checksum`,
--- a/nutmegusher/control/current_knowledge.cpp
+++ b/nutmegusher/control/freshness_tracker.cpp
@@ -1,19 +1,19 @@
-#include "nutmegusher/control/current_knowledge.hpp"
+#include "nutmegusher/control/freshness_tracker.hpp"
 
 #include <algorithm>
 
 namespace nutmegusher
 {
 
-void current_knowledge::proved(log_index commit, time_point as_of)
+void freshness_tracker::add_proof(log_index commit, time_point as_of)
 {
-    if (commit <= applied_)
+    if (commit <= applied_index_)
     {
         as_of_ = std::max(as_of_, as_of);
         return;
     }
-    const bool is_news = waiting_.empty() || as_of > waiting_.back().as_of;
-    if (!is_news)
+    const bool is_newer = waiting_.empty() || as_of > waiting_.back().as_of;
+    if (!is_newer)
     {
         return;
     }
@@ -23,15 +23,15 @@
         return;
     }
     // The earlier ones are reached first.
-    if (waiting_.size() < most_waiting)
+    if (waiting_.size() < max_waiting)
     {
         waiting_.push_back({commit, as_of});
     }
 }
 
-void current_knowledge::applied(log_index index)
+void freshness_tracker::applied(log_index index)
 {
-    applied_ = index;
+    applied_index_ = index;
     while (!waiting_.empty() && waiting_.front().commit <= index)
     {
         as_of_ = std::max(as_of_, waiting_.front().as_of);
--- a/nutmegusher/control/current_knowledge.hpp
+++ b/nutmegusher/control/freshness_tracker.hpp
@@ -1,6 +1,6 @@
 // Up to which moment a replica is proved to know all that was committed.
-#ifndef NUTMEGUSHER_CONTROL_CURRENT_KNOWLEDGE_HPP
-#define NUTMEGUSHER_CONTROL_CURRENT_KNOWLEDGE_HPP
+#ifndef NUTMEGUSHER_CONTROL_FRESHNESS_TRACKER_HPP
+#define NUTMEGUSHER_CONTROL_FRESHNESS_TRACKER_HPP
 
 #include "nutmegusher/base/base.hpp"
 #include "nutmegusher/control/replica_log.hpp"
@@ -18,18 +18,18 @@
 // it by its own clock alone, however long it was under way. A follower knows as
 // much once it has applied that commit.
 //
-//     current_knowledge known;
-//     known.proved(commit, heard_reply_at - proof_age);
+//     freshness_tracker known;
+//     known.add_proof(commit, heard_reply_at - proof_age);
 //     known.applied(index);
 //     now - known.as_of()                         // its age at most
 //
 // Neither a connection, nor a leader's name, nor a heartbeat from a leader that
 // has lost its majority moves it.
-class current_knowledge
+class freshness_tracker
 {
 public:
     // All that was committed before `as_of` is at or below `commit`.
-    void proved(log_index commit, time_point as_of);
+    void add_proof(log_index commit, time_point as_of);
 
     void applied(log_index index);
 
@@ -47,11 +47,11 @@
     };
 
     // Proofs of what isn't applied yet; a few seconds of heartbeats.
-    static constexpr std::size_t most_waiting = 64;
+    static constexpr std::size_t max_waiting = 64;
 
     // Rising in both fields.
     std::deque<proof> waiting_;
-    log_index applied_ = 0;
+    log_index applied_index_ = 0;
     time_point as_of_{};
 };
 
--- a/nutmegusher/control/current_knowledge_test.cpp
+++ b/nutmegusher/control/freshness_tracker_test.cpp
@@ -12,13 +12,13 @@
 
 constexpr time_point start{std::chrono::hours(1)};
 // Above two heartbeats and the round trip of a proof.
-constexpr milliseconds usual_age{250};
+constexpr milliseconds max_expected_age{250};
 
-TEST(current_knowledge, counts_once_the_commit_is_applied)
+TEST(freshness_tracker, counts_once_the_commit_is_applied)
 {
-    current_knowledge known;
-    known.proved(3, start);
-    known.proved(5, start + seconds(1));
+    freshness_tracker known;
+    known.add_proof(3, start);
+    known.add_proof(5, start + seconds(1));
     EXPECT_EQ(known.as_of(), time_point());
     known.applied(4);
     EXPECT_EQ(known.as_of(), start);
@@ -26,34 +26,34 @@
     EXPECT_EQ(known.as_of(), start + seconds(1));
 }
 
-TEST(current_knowledge, never_goes_back)
+TEST(freshness_tracker, never_goes_back)
 {
-    current_knowledge known;
+    freshness_tracker known;
     known.applied(5);
-    known.proved(5, start + seconds(1));
-    known.proved(4, start);
+    known.add_proof(5, start + seconds(1));
+    known.add_proof(4, start);
     EXPECT_EQ(known.as_of(), start + seconds(1));
 }
 
 // While thousands of entries arrive the first proofs are the ones to keep.
-TEST(current_knowledge, moves_on_during_a_long_catch_up)
+TEST(freshness_tracker, moves_on_during_a_long_catch_up)
 {
-    current_knowledge known;
+    freshness_tracker known;
     for (log_index commit = 1; commit <= 1000; ++commit)
     {
-        known.proved(commit, start + milliseconds(50 * commit));
+        known.add_proof(commit, start + milliseconds(50 * commit));
     }
     known.applied(10);
     EXPECT_EQ(known.as_of(), start + milliseconds(500));
     known.applied(1000);
-    known.proved(1000, start + seconds(51));
+    known.add_proof(1000, start + seconds(51));
     EXPECT_EQ(known.as_of(), start + seconds(51));
 }
 
-class knowledge_of_a_group : public testing::Test
+class group_freshness : public testing::Test
 {
 protected:
-    knowledge_of_a_group()
+    group_freshness()
         : hosts(5, 1)
     {
         hosts.run(seconds(2));
@@ -80,7 +80,7 @@
     cluster hosts;
 };
 
-TEST_F(knowledge_of_a_group, is_fresh_at_every_member_while_all_is_well)
+TEST_F(group_freshness, is_fresh_at_every_member_while_all_is_well)
 {
     for (int i = 0; i < 100; ++i)
     {
@@ -88,41 +88,41 @@
         hosts.run(milliseconds(37));
         for (const auto& each : hosts.hosts)
         {
-            EXPECT_LE(age(each), usual_age) << each.name();
+            EXPECT_LE(age(each), max_expected_age) << each.name();
         }
     }
     EXPECT_EQ(hosts.violation(), "");
 }
 
-TEST_F(knowledge_of_a_group, ages_where_a_host_is_cut_off)
+TEST_F(group_freshness, ages_where_a_host_is_cut_off)
 {
     auto& cut = follower();
-    hosts.cut({cut.name()});
+    hosts.partition({cut.name()});
     hosts.run(seconds(3));
     EXPECT_GE(age(cut), seconds(3));
     hosts.heal();
     hosts.run(seconds(1));
-    EXPECT_LE(age(cut), usual_age);
+    EXPECT_LE(age(cut), max_expected_age);
     EXPECT_EQ(hosts.violation(), "");
 }
 
 // The leader's heartbeats go on for a while, and prove nothing any more.
-TEST_F(knowledge_of_a_group, ages_with_a_leader_that_lost_its_majority)
+TEST_F(group_freshness, ages_with_a_leader_that_lost_its_majority)
 {
     auto& leads = *hosts.leader();
-    auto& with_it = follower();
-    hosts.cut({leads.name(), with_it.name()});
+    auto& isolated_follower = follower();
+    hosts.partition({leads.name(), isolated_follower.name()});
     hosts.run(seconds(2));
-    EXPECT_GE(age(leads), seconds(2) - usual_age);
-    EXPECT_GE(age(with_it), seconds(2) - usual_age);
+    EXPECT_GE(age(leads), seconds(2) - max_expected_age);
+    EXPECT_GE(age(isolated_follower), seconds(2) - max_expected_age);
     EXPECT_EQ(hosts.violation(), "");
 }
 
-TEST_F(knowledge_of_a_group, ages_where_entries_arrive_slowly)
+TEST_F(group_freshness, ages_where_entries_arrive_slowly)
 {
     auto& slow = follower();
-    hosts.line =
-        network_line{100'000, 8 * 1024 * 1024, seconds(20), slow.name()};
+    hosts.link =
+        network_link{100'000, 8 * 1024 * 1024, seconds(20), slow.name()};
     hosts.propose(*hosts.leader(), "large", 400'000);
     hosts.run(seconds(2));
     EXPECT_GE(age(slow), seconds(1));
@@ -130,7 +130,7 @@
 }
 
 // A learner stands for nothing, so nothing else tells it that its leader went.
-TEST_F(knowledge_of_a_group, a_learner_forgets_a_leader_that_went_silent)
+TEST_F(group_freshness, a_learner_forgets_a_leader_that_went_silent)
 {
     auto members = hosts.all_voters();
     auto& learner = hosts.add_host("learner");
@@ -141,14 +141,14 @@
     ASSERT_TRUE(hosts.propose_membership(*hosts.leader(), members));
     hosts.run(seconds(1));
     EXPECT_TRUE(learner.running().core().leader());
-    EXPECT_LE(age(learner), usual_age);
-    hosts.cut({learner.name()});
+    EXPECT_LE(age(learner), max_expected_age);
+    hosts.partition({learner.name()});
     hosts.run(seconds(2));
     EXPECT_FALSE(learner.running().core().leader());
     EXPECT_GE(age(learner), seconds(2));
 }
 
-TEST_F(knowledge_of_a_group, is_old_after_a_freeze)
+TEST_F(group_freshness, is_old_after_a_freeze)
 {
     auto& frozen = follower();
     frozen.frozen = true;
@@ -156,20 +156,20 @@
     EXPECT_GE(age(frozen), seconds(5));
 }
 
-TEST_F(knowledge_of_a_group, starts_without_any)
+TEST_F(group_freshness, starts_without_a_proof)
 {
     auto& again = follower();
     again.crash();
     ASSERT_TRUE(again.start());
     EXPECT_EQ(again.running().core().known_current_at(), time_point());
     hosts.run(seconds(1));
-    EXPECT_LE(age(again), usual_age);
+    EXPECT_LE(age(again), max_expected_age);
 }
 
 // Entries of megabytes for others, and a message may be under way for seconds.
-TEST_F(knowledge_of_a_group, is_never_claimed_too_soon_over_slow_messages)
+TEST_F(group_freshness, is_never_claimed_too_soon_over_slow_messages)
 {
-    hosts.faults.longest_delay = milliseconds(700);
+    hosts.faults.max_delay = milliseconds(700);
     for (int i = 0; i < 300; ++i)
     {
         if (auto* const leads = hosts.leader())
--- a/nutmegusher/control/group_storage.cpp
+++ b/nutmegusher/control/group_storage.cpp
@@ -3,7 +3,7 @@
 namespace nutmegusher::internal
 {
 
-void join_frame(recovered_log& log, messages::log_frame frame)
+void merge_frame(recovered_log& log, messages::log_frame frame)
 {
     if (frame.has_state())
     {
--- a/nutmegusher/control/group_storage.hpp
+++ b/nutmegusher/control/group_storage.hpp
@@ -22,7 +22,7 @@
 
 // Puts one frame's entries behind the others; an entry replaces those at its
 // index and above.
-void join_frame(recovered_log& log, messages::log_frame frame);
+void merge_frame(recovered_log& log, messages::log_frame frame);
 
 // Drops entries that the snapshot has replaced: a crash came between writing
 // the one and the other. True where there were any.
@@ -77,16 +77,16 @@
                 return leaf::new_error(
                     storage_failure{storage_fault::bad_content, log_file_});
             }
-            internal::join_frame(recovered, std::move(frame));
+            internal::merge_frame(recovered, std::move(frame));
         }
-        if (scan.whole_size < content.size())
+        if (scan.intact_size < content.size())
         {
             internal::log_tail_cut(
-                log_file_, scan.whole_size, content.size() - scan.whole_size);
-            BOOST_LEAF_CHECK(disk_->truncate(log_file_, scan.whole_size));
+                log_file_, scan.intact_size, content.size() - scan.intact_size);
+            BOOST_LEAF_CHECK(disk_->truncate(log_file_, scan.intact_size));
         }
-        log_bytes_ = scan.whole_size;
-        BOOST_LEAF_CHECK(agree_with_snapshot(recovered));
+        log_bytes_ = scan.intact_size;
+        BOOST_LEAF_CHECK(reconcile_with_snapshot(recovered));
         return recovered;
     }
 
@@ -164,7 +164,7 @@
     }
 
 private:
-    leaf::result<void> agree_with_snapshot(recovered_log& recovered)
+    leaf::result<void> reconcile_with_snapshot(recovered_log& recovered)
     {
         if (internal::drop_replaced_entries(recovered))
         {
--- a/nutmegusher/control/lag_watch.hpp
+++ b/nutmegusher/control/lag_monitor.hpp
@@ -1,7 +1,7 @@
 // Tells when a lag is worth a log line: once it has lasted, now and then while
 // it lasts, and when it has ended.
-#ifndef NUTMEGUSHER_CONTROL_LAG_WATCH_HPP
-#define NUTMEGUSHER_CONTROL_LAG_WATCH_HPP
+#ifndef NUTMEGUSHER_CONTROL_LAG_MONITOR_HPP
+#define NUTMEGUSHER_CONTROL_LAG_MONITOR_HPP
 
 #include "nutmegusher/base/base.hpp"
 
@@ -11,7 +11,7 @@
 namespace nutmegusher
 {
 
-struct lag_watch_options
+struct lag_monitor_options
 {
     // Shorter lags are ordinary: an entry is under way, or a leader was
     // elected.
@@ -22,30 +22,30 @@
 
 enum class lag_state : std::uint8_t
 {
-    lasts,
+    ongoing,
     ended
 };
 
 struct lag_report
 {
-    lag_state state = lag_state::lasts;
+    lag_state state = lag_state::ongoing;
     // Since the lag began.
     duration length{0};
 };
 
-//     lag_watch watch;
-//     if (const auto report = watch.update(is_behind, now)) ...
-class lag_watch
+//     lag_monitor monitor;
+//     if (const auto report = monitor.update(is_behind, now)) ...
+class lag_monitor
 {
 public:
-    explicit lag_watch(lag_watch_options options = {});
+    explicit lag_monitor(lag_monitor_options options = {});
 
     // What is to be told now; nothing most of the time.
     [[nodiscard]] std::optional<lag_report> update(bool lags, time_point now);
 
 private:
-    lag_watch_options options_;
-    std::optional<time_point> since_;
+    lag_monitor_options options_;
+    std::optional<time_point> began_at_;
     std::optional<time_point> reported_;
 };
 
--- a/nutmegusher/control/membership_goal.cpp
+++ b/nutmegusher/control/membership_goal.cpp
@@ -19,23 +19,23 @@
     {
     }
 
-    [[nodiscard]] bool is_lost(const member_view& one) const
+    [[nodiscard]] bool is_lost(const member_view& each) const
     {
-        return one.silent_for >= goal_.lost_after || is_superseded(one);
+        return each.silent_for >= goal_.lost_after || is_superseded(each);
     }
 
     // Silent, and its host is there under another identity.
-    [[nodiscard]] bool is_superseded(const member_view& one) const
+    [[nodiscard]] bool is_superseded(const member_view& each) const
     {
-        if (one.silent_for <= duration::zero())
+        if (each.silent_for <= duration::zero())
         {
             return false;
         }
-        const auto replaces = [&one](const member_view& other)
+        const auto replaces = [&each](const member_view& other)
         {
-            return other.member.identity() != one.member.identity() &&
-                   other.member.host() == one.member.host() &&
-                   other.silent_for < one.silent_for;
+            return other.member.identity() != each.member.identity() &&
+                   other.member.host() == each.member.host() &&
+                   other.silent_for < each.silent_for;
         };
         return std::any_of(present_.begin(), present_.end(), replaces);
     }
@@ -43,18 +43,18 @@
     [[nodiscard]] std::size_t voters() const
     {
         return count(
-            [](const member_view& one)
+            [](const member_view& each)
             {
-                return one.member.voter();
+                return each.member.voter();
             });
     }
 
-    [[nodiscard]] std::size_t sound_voters() const
+    [[nodiscard]] std::size_t healthy_voters() const
     {
         return count(
-            [this](const member_view& one)
+            [this](const member_view& each)
             {
-                return one.member.voter() && !is_lost(one);
+                return each.member.voter() && !is_lost(each);
             });
     }
 
@@ -62,18 +62,18 @@
     [[nodiscard]] const member_view* ready_learner() const
     {
         return first(
-            [this](const member_view& one)
+            [this](const member_view& each)
             {
-                return !one.member.voter() && one.caught_up && !is_lost(one);
+                return !each.member.voter() && each.caught_up && !is_lost(each);
             });
     }
 
     [[nodiscard]] const member_view* lost_learner() const
     {
         return first(
-            [this](const member_view& one)
+            [this](const member_view& each)
             {
-                return !one.member.voter() && is_lost(one);
+                return !each.member.voter() && is_lost(each);
             });
     }
 
@@ -81,13 +81,13 @@
     [[nodiscard]] const member_view* lost_voter() const
     {
         const member_view* found = nullptr;
-        for (const auto& one : present_)
+        for (const auto& each : present_)
         {
             const bool longer =
-                found == nullptr || one.silent_for > found->silent_for;
-            if (one.member.voter() && is_lost(one) && longer)
+                found == nullptr || each.silent_for > found->silent_for;
+            if (each.member.voter() && is_lost(each) && longer)
             {
-                found = &one;
+                found = &each;
             }
         }
         return found;
@@ -96,9 +96,9 @@
     [[nodiscard]] bool has(const messages::replica_member& member) const
     {
         return first(
-                   [&member](const member_view& one)
+                   [&member](const member_view& each)
                    {
-                       return one.member.identity() == member.identity();
+                       return each.member.identity() == member.identity();
                    }) != nullptr;
     }
 
@@ -107,11 +107,11 @@
     without(const member_view* removed) const
     {
         messages::replica_set set;
-        for (const auto& one : present_)
+        for (const auto& each : present_)
         {
-            if (&one != removed)
+            if (&each != removed)
             {
-                *set.add_members() = one.member;
+                *set.add_members() = each.member;
             }
         }
         return set;
@@ -139,36 +139,37 @@
 
 } // namespace
 
-std::optional<messages::replica_set> membership_towards(
+std::optional<messages::replica_set> next_membership(
     const voter_goal& goal,
     std::span<const member_view> present,
-    std::span<const messages::replica_member> asking)
+    std::span<const messages::replica_member> join_requests)
 {
-    const assessment now(goal, present);
-    const auto sound = now.sound_voters();
-    const auto* const ready = now.ready_learner();
-    if (ready != nullptr && sound < goal.voters)
+    const assessment current(goal, present);
+    const auto healthy = current.healthy_voters();
+    const auto* const ready = current.ready_learner();
+    if (ready != nullptr && healthy < goal.voters)
     {
-        auto set = now.without(ready);
+        auto set = current.without(ready);
         *set.add_members() = ready->member;
         set.mutable_members()->rbegin()->set_voter(true);
         return set;
     }
-    const auto* const lost = now.lost_voter();
-    const auto left = now.voters() - 1;
-    if (lost != nullptr && now.voters() > goal.voters && sound > left / 2)
+    const auto* const lost = current.lost_voter();
+    const auto remaining = current.voters() - 1;
+    if (lost != nullptr && current.voters() > goal.voters &&
+        healthy > remaining / 2)
     {
-        return now.without(lost);
+        return current.without(lost);
     }
-    if (const auto* const learner = now.lost_learner())
+    if (const auto* const learner = current.lost_learner())
     {
-        return now.without(learner);
+        return current.without(learner);
     }
-    for (const auto& member : asking)
+    for (const auto& member : join_requests)
     {
-        if (!now.has(member))
+        if (!current.has(member))
         {
-            auto set = now.without(nullptr);
+            auto set = current.without(nullptr);
             *set.add_members() = member;
             set.mutable_members()->rbegin()->set_voter(false);
             return set;
--- a/nutmegusher/control/membership_goal_test.cpp
+++ b/nutmegusher/control/membership_goal_test.cpp
@@ -23,10 +23,10 @@
     return made;
 }
 
-class towards_goal : public ::testing::Test
+class next_membership_test : public ::testing::Test
 {
 protected:
-    towards_goal()
+    next_membership_test()
     {
         goal.voters = 5;
         for (std::uint64_t i = 1; i <= 5; ++i)
@@ -38,7 +38,7 @@
 
     [[nodiscard]] std::vector<std::uint64_t> voters_after() const
     {
-        const auto next = membership_towards(goal, view, asking);
+        const auto next = next_membership(goal, view, join_requests);
         std::vector<std::uint64_t> ids;
         if (next)
         {
@@ -55,75 +55,76 @@
 
     voter_goal goal;
     std::vector<member_view> view;
-    std::vector<messages::replica_member> asking;
+    std::vector<messages::replica_member> join_requests;
 };
 
-TEST_F(towards_goal, a_whole_group_stays_as_it_is)
+TEST_F(next_membership_test, a_whole_group_stays_as_it_is)
 {
-    EXPECT_FALSE(membership_towards(goal, view, asking));
+    EXPECT_FALSE(next_membership(goal, view, join_requests));
 }
 
-TEST_F(towards_goal, a_lost_voter_without_a_successor_is_kept)
+TEST_F(next_membership_test, a_lost_voter_without_a_successor_is_kept)
 {
     view[4].silent_for = 1h;
-    EXPECT_FALSE(membership_towards(goal, view, asking));
+    EXPECT_FALSE(next_membership(goal, view, join_requests));
 }
 
-TEST_F(towards_goal, a_host_that_asks_becomes_a_learner_first)
+TEST_F(next_membership_test, a_host_that_asks_becomes_a_learner_first)
 {
     view[4].silent_for = 1h;
-    asking.push_back(member(6, "h6", true));
-    const auto next = membership_towards(goal, view, asking);
+    join_requests.push_back(member(6, "h6", true));
+    const auto next = next_membership(goal, view, join_requests);
     ASSERT_TRUE(next);
     EXPECT_EQ(next->members_size(), 6);
     EXPECT_EQ(voters_after().size(), 5U);
 }
 
-TEST_F(towards_goal, the_successor_votes_before_the_lost_one_goes)
+TEST_F(next_membership_test, the_successor_votes_before_the_lost_one_goes)
 {
     view[4].silent_for = 3s;
     view.push_back({member(6, "h6", false), 0s, false});
-    EXPECT_FALSE(membership_towards(goal, view, asking)) << "not caught up";
+    EXPECT_FALSE(next_membership(goal, view, join_requests)) << "not caught up";
     view[5].caught_up = true;
     EXPECT_EQ(voters_after(), (std::vector<std::uint64_t>{1, 2, 3, 4, 5, 6}));
     view[5].member.set_voter(true);
     EXPECT_EQ(voters_after(), (std::vector<std::uint64_t>{1, 2, 3, 4, 6}));
 }
 
-TEST_F(towards_goal, a_wiped_host_is_replaced_by_itself_at_once)
+TEST_F(next_membership_test, a_wiped_host_is_replaced_by_itself_at_once)
 {
     view[1].silent_for = 100ms;
     view.push_back({member(6, "h2", false), 0s, true});
     EXPECT_EQ(voters_after().size(), 6U);
 }
 
-TEST_F(towards_goal, a_host_beyond_the_goal_waits_as_a_learner)
+TEST_F(next_membership_test, a_host_beyond_the_goal_waits_as_a_learner)
 {
     view.push_back({member(6, "h6", false), 0s, true});
-    EXPECT_FALSE(membership_towards(goal, view, asking));
+    EXPECT_FALSE(next_membership(goal, view, join_requests));
 }
 
-TEST_F(towards_goal, a_partition_removes_nobody)
+TEST_F(next_membership_test, a_partition_removes_nobody)
 {
     view.push_back({member(6, "h6", true), 0s, true});
     for (std::size_t i = 0; i < 4; ++i)
     {
         view[i].silent_for = 5s;
     }
-    EXPECT_FALSE(membership_towards(goal, view, asking)) << "two of six answer";
+    EXPECT_FALSE(next_membership(goal, view, join_requests))
+        << "two of six answer";
 }
 
 // Two disks are lost at once: never fewer than a majority of those that hold
 // what was acknowledged, and five sound voters in the end.
-TEST_F(towards_goal, two_wiped_at_once_are_both_replaced)
+TEST_F(next_membership_test, two_wiped_at_once_are_both_replaced)
 {
     view[0].silent_for = 300ms;
     view[1].silent_for = 300ms;
-    asking.push_back(member(6, "h1", true));
-    asking.push_back(member(7, "h2", true));
+    join_requests.push_back(member(6, "h1", true));
+    join_requests.push_back(member(7, "h2", true));
     for (int step = 0; step < 12; ++step)
     {
-        const auto next = membership_towards(goal, view, asking);
+        const auto next = next_membership(goal, view, join_requests);
         if (!next)
         {
             break;
--- a/nutmegusher/control/membership_plan.cpp
+++ b/nutmegusher/control/membership_plan.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-bool is_old(const messages::replica_member& member, const replacement& wanted)
+bool is_replaced(
+    const messages::replica_member& member, const replacement& wanted)
 {
     return member.host() == wanted.old_host.str() &&
            member.identity() != wanted.added.identity();
@@ -16,12 +17,12 @@
 
 // The first old member; voters go before learners.
 const messages::replica_member*
-find_old(const messages::replica_set& present, const replacement& wanted)
+find_replaced(const messages::replica_set& present, const replacement& wanted)
 {
     const messages::replica_member* found = nullptr;
     for (const auto& member : present.members())
     {
-        if (is_old(member, wanted) && (found == nullptr || member.voter()))
+        if (is_replaced(member, wanted) && (found == nullptr || member.voter()))
         {
             found = &member;
         }
@@ -53,8 +54,9 @@
         return caught_up ? replacement_step::promote
                          : replacement_step::catch_up;
     }
-    return find_old(present, wanted) == nullptr ? replacement_step::done
-                                                : replacement_step::remove_old;
+    return find_replaced(present, wanted) == nullptr
+               ? replacement_step::done
+               : replacement_step::remove_old;
 }
 
 std::optional<messages::replica_set> membership_after(
@@ -84,7 +86,7 @@
         return changed;
     case replacement_step::remove_old:
     {
-        const auto* old = find_old(present, wanted);
+        const auto* old = find_replaced(present, wanted);
         const auto identity = old == nullptr ? 0 : old->identity();
         const auto gone = std::find_if(
             members.begin(),
@@ -131,7 +133,7 @@
     return caught_up_progress(core, member, now).has_value();
 }
 
-bool can_succeed(const replica& core, replica_id member, time_point now)
+bool can_take_leadership(const replica& core, replica_id member, time_point now)
 {
     const auto progress = caught_up_progress(core, member, now);
     return progress && !progress->declines_leadership;
--- a/nutmegusher/control/membership_plan.hpp
+++ b/nutmegusher/control/membership_plan.hpp
@@ -53,7 +53,7 @@
 
 // The same, and it would take leadership over.
 [[nodiscard]] bool
-can_succeed(const replica& core, replica_id member, time_point now);
+can_take_leadership(const replica& core, replica_id member, time_point now);
 
 // One member as the leader sees it now.
 struct member_view
@@ -76,8 +76,8 @@
 };
 
 // The membership that brings the group nearer to the goal, one change at a
-// time; nothing where there is none to make. `asking` are hosts that want to
-// be voters.
+// time; nothing where there is none to make. `join_requests` are hosts that
+// want to be voters.
 //
 // Without it each lost disk needs an operator before the next loss, and two
 // of them leave five voters with no majority after a third.
@@ -87,10 +87,10 @@
 //   nobody.
 // - A voter whose host has come back under a new identity is lost for good.
 // - A host beyond the goal stays a learner until a voter is lost.
-[[nodiscard]] std::optional<messages::replica_set> membership_towards(
+[[nodiscard]] std::optional<messages::replica_set> next_membership(
     const voter_goal& goal,
     std::span<const member_view> present,
-    std::span<const messages::replica_member> asking);
+    std::span<const messages::replica_member> join_requests);
 
 } // namespace nutmegusher
 
--- a/nutmegusher/control/memory_disk.cpp
+++ b/nutmegusher/control/memory_disk.cpp
@@ -54,14 +54,14 @@
 memory_disk::append(std::string_view file, std::string_view bytes)
 {
     BOOST_LEAF_CHECK(count_operation(file));
-    auto room = bytes.size();
+    auto writable = bytes.size();
     if (capacity_)
     {
-        room = std::min<std::uint64_t>(
-            room, *capacity_ - std::min(*capacity_, used()));
+        writable = std::min<std::uint64_t>(
+            writable, *capacity_ - std::min(*capacity_, used()));
     }
-    content(file).append(bytes.substr(0, room));
-    if (room < bytes.size())
+    content(file).append(bytes.substr(0, writable));
+    if (writable < bytes.size())
     {
         return fail(storage_fault::full, file);
     }
@@ -110,15 +110,15 @@
 {
     for (auto& [name, file] : files_)
     {
-        const auto loose = file.written.size() - file.durable;
+        const auto unsynced = file.written.size() - file.durable;
         const auto kept =
-            static_cast<std::size_t>(uniform_below(engine, loose + 1));
+            static_cast<std::size_t>(uniform_below(engine, unsynced + 1));
         file.written.resize(file.durable + kept);
         if (kept > 0 && uniform_below(engine, 2) == 0)
         {
-            const auto wrong =
+            const auto corrupted =
                 static_cast<std::size_t>(uniform_below(engine, kept));
-            auto& byte = file.written[file.durable + wrong];
+            auto& byte = file.written[file.durable + corrupted];
             byte = static_cast<char>(byte ^ 0x55);
         }
         file.durable = file.written.size();
--- a/nutmegusher/control/replica.cpp
+++ b/nutmegusher/control/replica.cpp
@@ -31,16 +31,16 @@
     , log_(recovered.base, std::move(recovered.entries))
     , last_now_(now)
 {
-    while (run_ == 0)
+    while (run_id_ == 0)
     {
-        run_ = engine();
+        run_id_ = engine();
     }
     const auto hint = std::min(state_.commit(), log_.last_index());
     state_.set_commit(std::max(hint, log_.base_index()));
     saved_state_ = state_;
     saved_index_ = log_.last_index();
-    handed_index_ = saved_index_;
-    applied_ = log_.base_index();
+    handed_out_index_ = saved_index_;
+    applied_index_ = log_.base_index();
     reported_.term = state_.term();
     set_election_deadline(settings_.timing.start_timeout, now);
 }
@@ -114,7 +114,7 @@
     }
     if (message.has_vote())
     {
-        if (hears_leader(now) && !message.vote().transfer())
+        if (has_live_leader(now) && !message.vote().transfer())
         {
             return false;
         }
@@ -153,7 +153,7 @@
         on_install(message, now);
         break;
     case messages::replica_message::kStand:
-        on_stand_now(now);
+        on_timeout_now(now);
         break;
     case messages::replica_message::BODY_NOT_SET:
         break;
@@ -187,12 +187,12 @@
 {
     for (const auto& read : reads_)
     {
-        failed_.push_back(read.ticket);
+        failed_reads_.push_back(read.ticket);
     }
     reads_.clear();
     transfer_.reset();
     peers_.clear();
-    early_.clear();
+    early_messages_.clear();
 }
 
 void replica::reset_election_deadline(time_point now)
@@ -220,7 +220,7 @@
 
 void replica::queue(messages::replica_message message)
 {
-    queued_.push_back(std::move(message));
+    queued_messages_.push_back(std::move(message));
 }
 
 void replica::commit_to(log_index index)
@@ -243,12 +243,12 @@
         send_to_all(false, now);
         if (own_term_committed())
         {
-            known_.proved(commit(), majority_heard_at());
+            freshness_.add_proof(commit(), majority_acknowledged_at());
         }
     }
     replica_ready ready;
-    ready.early_messages = std::exchange(early_, {});
-    ready.messages = std::exchange(queued_, {});
+    ready.early_messages = std::exchange(early_messages_, {});
+    ready.messages = std::exchange(queued_messages_, {});
     collect_storage(ready);
     collect_commits(ready);
     collect_leadership(ready);
@@ -266,11 +266,11 @@
     const bool vote_changed = state_.term() != saved_state_.term() ||
                               state_.voted_for() != saved_state_.voted_for();
     ready.install = std::exchange(install_, std::nullopt);
-    for (auto i = handed_index_ + 1; i <= log_.last_index(); ++i)
+    for (auto i = handed_out_index_ + 1; i <= log_.last_index(); ++i)
     {
         ready.entries.push_back(log_.at(i));
     }
-    handed_index_ = log_.last_index();
+    handed_out_index_ = log_.last_index();
     if (vote_changed || ready.install || !ready.entries.empty())
     {
         ready.state = state_;
@@ -281,14 +281,14 @@
 
 void replica::collect_commits(replica_ready& ready)
 {
-    while (applied_ < commit())
+    while (applied_index_ < commit())
     {
-        ++applied_;
-        ready.committed.push_back(log_.at(applied_));
+        ++applied_index_;
+        ready.committed.push_back(log_.at(applied_index_));
     }
-    known_.applied(applied_);
-    ready.reads = std::exchange(confirmed_, {});
-    ready.failed_reads = std::exchange(failed_, {});
+    freshness_.applied(applied_index_);
+    ready.reads = std::exchange(confirmed_reads_, {});
+    ready.failed_reads = std::exchange(failed_reads_, {});
 }
 
 void replica::collect_leadership(replica_ready& ready)
@@ -303,7 +303,7 @@
 
 void replica::saved()
 {
-    saved_index_ = handed_index_;
+    saved_index_ = handed_out_index_;
     if (role_ == replica_role::candidate && vote_unsaved_)
     {
         vote_unsaved_ = false;
@@ -318,7 +318,7 @@
 
 void replica::compact(log_index index)
 {
-    const auto limit = std::min(index, applied_);
+    const auto limit = std::min(index, applied_index_);
     if (limit > log_.base_index())
     {
         log_.compact(limit);
--- a/nutmegusher/control/replica.hpp
+++ b/nutmegusher/control/replica.hpp
@@ -23,7 +23,7 @@
 #define NUTMEGUSHER_CONTROL_REPLICA_HPP
 
 #include "nutmegusher/base/base.hpp"
-#include "nutmegusher/control/current_knowledge.hpp"
+#include "nutmegusher/control/freshness_tracker.hpp"
 #include "nutmegusher/control/replica_log.hpp"
 #include "nutmegusher/messages/replication.pb.h"
 
@@ -282,7 +282,7 @@
     // at this moment of the own clock; the clock's start: nothing was proved.
     [[nodiscard]] time_point known_current_at() const
     {
-        return known_.as_of();
+        return freshness_.as_of();
     }
 
     // Term, vote and commit, as they must be durable.
@@ -322,21 +322,21 @@
 
 private:
     // One message with entries.
-    struct sent_part
+    struct in_flight_message
     {
         log_index last = 0;
         std::size_t bytes = 0;
     };
 
     // Entries that were sent and may still arrive.
-    struct sent_entries
+    struct in_flight_entries
     {
         log_index first = 0;
         log_index last = 0;
-        std::deque<sent_part> parts;
+        std::deque<in_flight_message> unacknowledged;
         // Of all parts.
         std::size_t bytes = 0;
-        time_point until;
+        time_point deadline;
     };
 
     // What a leader knows of one other member.
@@ -348,15 +348,15 @@
         bool probing = true;
         bool probe_sent = false;
         bool declines_leadership = false;
-        std::optional<sent_entries> on_the_way;
+        std::optional<in_flight_entries> in_flight;
         // Times that entries were taken for lost since the last progress.
         unsigned resends = 0;
         // When a snapshot that was sent is taken for lost.
-        std::optional<time_point> installing_until;
+        std::optional<time_point> snapshot_deadline;
         std::uint64_t acknowledged_round = 0;
         // What the follower wrote on its latest reply.
-        std::uint64_t heard_run = 0;
-        std::uint64_t heard_reply_us = 0;
+        std::uint64_t last_reply_run = 0;
+        std::uint64_t last_reply_us = 0;
         // When the acknowledged round was sent.
         time_point lease_start{};
     };
@@ -372,7 +372,7 @@
     {
         replica_id target;
         time_point deadline;
-        bool told = false;
+        bool request_sent = false;
     };
 
     replica(
@@ -410,13 +410,13 @@
     void
     on_vote_reply(const messages::replica_message& message, time_point now);
     void count_votes(time_point now);
-    void on_stand_now(time_point now);
-    [[nodiscard]] bool hears_leader(time_point now) const;
+    void on_timeout_now(time_point now);
+    [[nodiscard]] bool has_live_leader(time_point now) const;
     [[nodiscard]] bool is_up_to_date(const messages::vote_request& vote) const;
 
     // replica_follower.cpp
     void on_append(const messages::replica_message& message, time_point now);
-    void note_proof(const messages::append_request& request, time_point now);
+    void record_proof(const messages::append_request& request, time_point now);
     // False: the request contradicts what is committed.
     bool accept_entries(const messages::append_request& request);
     void reply_append(
@@ -426,20 +426,20 @@
     // replica_leader.cpp
     void
     on_append_reply(const messages::replica_message& message, time_point now);
-    void note_round(peer& from, std::uint64_t round);
+    void record_round(peer& from, std::uint64_t round);
     static void
-    note_reply_time(peer& from, const messages::append_reply& reply);
-    void note_success(peer& from, log_index match, time_point now);
-    static void note_rejection(peer& from, log_index hint, time_point now);
-    void note_sent(
+    record_reply_time(peer& from, const messages::append_reply& reply);
+    void record_success(peer& from, log_index match, time_point now);
+    static void record_rejection(peer& from, log_index hint, time_point now);
+    void record_sent(
         peer& to, const messages::append_request& request, time_point now);
     // Drops the parts that the follower holds.
-    static void forget_arrived(sent_entries& sent, log_index match);
-    void wait_for_sent(peer& to, time_point now) const;
+    static void drop_acknowledged(in_flight_entries& sent, log_index match);
+    void reset_entry_deadline(peer& to, time_point now) const;
     // Until what was sent counts as lost.
     [[nodiscard]] duration
-    wait_for(std::size_t bytes, duration retry, unsigned resends) const;
-    [[nodiscard]] bool has_room(const peer& to) const;
+    loss_timeout(std::size_t bytes, duration retry, unsigned resends) const;
+    [[nodiscard]] bool can_send_more(const peer& to) const;
     void refresh_peers();
     void start_round(time_point now);
     void send_to_all(bool heartbeat, time_point now);
@@ -451,26 +451,26 @@
     void confirm_reads();
     void check_transfer(time_point now);
     // A majority has answered a round that was sent then.
-    [[nodiscard]] time_point majority_heard_at() const;
+    [[nodiscard]] time_point majority_acknowledged_at() const;
     [[nodiscard]] time_point lease_end() const;
     [[nodiscard]] bool own_term_committed() const;
     [[nodiscard]] std::optional<replica_refusal>
     check_members(const messages::replica_set& members) const;
-    proposal_position append_own(messages::log_entry entry);
+    proposal_position append_to_log(messages::log_entry entry);
 
     replica_settings settings_;
     random_engine* engine_;
     // Tells its replies from those of an earlier run.
-    std::uint64_t run_ = 0;
+    std::uint64_t run_id_ = 0;
     snapshot_source snapshot_source_;
 
     messages::hard_state state_;
     replica_log log_;
     replica_role role_ = replica_role::follower;
     std::optional<replica_id> leader_;
-    std::optional<time_point> leader_heard_;
+    std::optional<time_point> leader_contact_at_;
     log_index leader_commit_ = 0;
-    current_knowledge known_;
+    freshness_tracker freshness_;
     time_point election_deadline_;
 
     // Candidates.
@@ -491,17 +491,17 @@
     // Storage.
     messages::hard_state saved_state_;
     log_index saved_index_ = 0;
-    log_index handed_index_ = 0;
+    log_index handed_out_index_ = 0;
     bool vote_unsaved_ = false;
     std::optional<messages::snapshot> install_;
 
     // Output.
-    log_index applied_ = 0;
+    log_index applied_index_ = 0;
     leadership reported_;
-    std::vector<messages::replica_message> early_;
-    std::vector<messages::replica_message> queued_;
-    std::vector<confirmed_read> confirmed_;
-    std::vector<read_ticket> failed_;
+    std::vector<messages::replica_message> early_messages_;
+    std::vector<messages::replica_message> queued_messages_;
+    std::vector<confirmed_read> confirmed_reads_;
+    std::vector<read_ticket> failed_reads_;
     time_point last_now_;
 };
 
--- a/nutmegusher/control/replica_election.cpp
+++ b/nutmegusher/control/replica_election.cpp
@@ -37,14 +37,14 @@
     return voters().size() / 2 + 1;
 }
 
-bool replica::hears_leader(time_point now) const
+bool replica::has_live_leader(time_point now) const
 {
     if (role_ == replica_role::leader)
     {
         return true;
     }
-    return leader_ && leader_heard_ &&
-           now - *leader_heard_ < settings_.timing.election_timeout;
+    return leader_ && leader_contact_at_ &&
+           now - *leader_contact_at_ < settings_.timing.election_timeout;
 }
 
 // Asks first whether a majority would vote, so that a host that was cut off
@@ -52,8 +52,8 @@
 void replica::start_pre_vote(time_point now)
 {
     set_election_deadline(
-        leader_heard_ ? settings_.timing.election_timeout
-                      : settings_.timing.start_timeout,
+        leader_contact_at_ ? settings_.timing.election_timeout
+                           : settings_.timing.start_timeout,
         now);
     leader_.reset();
     if (!is_voter(settings_.self))
@@ -196,11 +196,11 @@
     // Entries of earlier terms commit only together with one of this term.
     messages::log_entry entry;
     entry.set_no_operation(true);
-    append_own(std::move(entry));
+    append_to_log(std::move(entry));
     start_round(now);
 }
 
-void replica::on_stand_now(time_point now)
+void replica::on_timeout_now(time_point now)
 {
     if (role_ != replica_role::leader && is_voter(settings_.self) &&
         !declines_leadership_)
--- a/nutmegusher/control/replica_follower.cpp
+++ b/nutmegusher/control/replica_follower.cpp
@@ -45,9 +45,9 @@
         return;
     }
     become_follower(term(), from, now);
-    leader_heard_ = now;
+    leader_contact_at_ = now;
     leader_commit_ = std::max(leader_commit_, request.commit());
-    note_proof(request, now);
+    record_proof(request, now);
 
     const auto previous = request.previous_index();
     if (previous < log_.base_index())
@@ -77,15 +77,15 @@
     reply_append(from, true, match, request.round());
 }
 
-void replica::note_proof(
+void replica::record_proof(
     const messages::append_request& request, time_point now)
 {
     const time_point replied(
         std::chrono::microseconds(request.heard_reply_us()));
-    if (request.heard_run() == run_ && replied <= now)
+    if (request.heard_run() == run_id_ && replied <= now)
     {
         const std::chrono::microseconds age(request.proof_age_us());
-        known_.proved(request.commit(), replied - age);
+        freshness_.add_proof(request.commit(), replied - age);
     }
 }
 
@@ -106,7 +106,7 @@
             const auto kept = entry.index() - 1;
             log_.truncate_after(kept);
             saved_index_ = std::min(saved_index_, kept);
-            handed_index_ = std::min(handed_index_, kept);
+            handed_out_index_ = std::min(handed_out_index_, kept);
         }
         log_.append(entry);
     }
@@ -122,7 +122,7 @@
     appended.set_match_index(match);
     appended.set_round(round);
     appended.set_declines_leadership(declines_leadership_);
-    appended.set_run(run_);
+    appended.set_run(run_id_);
     appended.set_replied_us(to_us(last_now_));
     queue(std::move(reply));
 }
@@ -137,7 +137,7 @@
     const replica_id from(message.from());
     const auto& content = message.install().content();
     become_follower(term(), from, now);
-    leader_heard_ = now;
+    leader_contact_at_ = now;
     const auto index = content.last_index();
     if (index > commit())
     {
@@ -149,10 +149,10 @@
         {
             log_.reset(content);
             state_.set_commit(index);
-            applied_ = index;
-            known_.applied(index);
+            applied_index_ = index;
+            freshness_.applied(index);
             saved_index_ = index;
-            handed_index_ = index;
+            handed_out_index_ = index;
             install_ = content;
         }
     }
--- a/nutmegusher/control/replica_fuzz_test.cpp
+++ b/nutmegusher/control/replica_fuzz_test.cpp
@@ -170,7 +170,7 @@
         {
             side.insert(pick(hosts, host_number + amount).name());
         }
-        hosts.cut(side);
+        hosts.partition(side);
     }
     [[nodiscard]] const char* name() const override
     {
@@ -194,9 +194,9 @@
 {
     void perform(cluster& hosts) const override
     {
-        hosts.faults.lost_percent = amount % 30;
-        hosts.faults.repeated_percent = amount % 20;
-        hosts.faults.longest_delay = std::chrono::milliseconds(amount % 300);
+        hosts.faults.loss_percent = amount % 30;
+        hosts.faults.duplicate_percent = amount % 20;
+        hosts.faults.max_delay = std::chrono::milliseconds(amount % 300);
     }
     [[nodiscard]] const char* name() const override
     {
@@ -246,7 +246,7 @@
                     target, hosts.now + leader->clock_offset);
             },
             [] {});
-        leader->turn();
+        leader->process_ready();
     }
     [[nodiscard]] const char* name() const override
     {
--- a/nutmegusher/control/replica_leader.cpp
+++ b/nutmegusher/control/replica_leader.cpp
@@ -11,12 +11,12 @@
 {
 
 // Entries that are lost again and again are still sent every few seconds.
-constexpr unsigned most_doublings = 3;
+constexpr unsigned max_doublings = 3;
 
 // The value that at least `count` of `values` reach. Requires: count isn't 0
 // and at most the number of values.
 template <class T>
-T reached_by(std::vector<T> values, std::size_t count)
+T value_reached_by(std::vector<T> values, std::size_t count)
 {
     const auto position =
         values.begin() + static_cast<std::ptrdiff_t>(count - 1);
@@ -36,21 +36,21 @@
     }
     auto& from = found->second;
     const auto& reply = message.appended();
-    note_round(from, reply.round());
-    note_reply_time(from, reply);
+    record_round(from, reply.round());
+    record_reply_time(from, reply);
     from.declines_leadership = reply.declines_leadership();
     if (reply.success())
     {
-        note_success(from, reply.match_index(), now);
+        record_success(from, reply.match_index(), now);
         if (from.match >= log_.base_index())
         {
-            from.installing_until.reset();
+            from.snapshot_deadline.reset();
         }
         advance_commit();
     }
-    else if (!from.installing_until)
+    else if (!from.snapshot_deadline)
     {
-        note_rejection(from, reply.match_index(), now);
+        record_rejection(from, reply.match_index(), now);
     }
     if (role_ == replica_role::leader)
     {
@@ -59,7 +59,7 @@
     }
 }
 
-void replica::note_success(peer& from, log_index match, time_point now)
+void replica::record_success(peer& from, log_index match, time_point now)
 {
     const bool progress = match > from.match;
     if (progress)
@@ -67,19 +67,19 @@
         from.match = match;
         from.resends = 0;
     }
-    const auto& sent = from.on_the_way;
+    const auto& sent = from.in_flight;
     const bool all_arrived = sent && sent->last <= from.match;
     const bool fits = sent && sent->first <= from.match + 1;
     if (all_arrived || !fits)
     {
-        from.on_the_way.reset();
+        from.in_flight.reset();
     }
-    if (progress && from.on_the_way)
+    if (progress && from.in_flight)
     {
-        forget_arrived(*from.on_the_way, from.match);
-        wait_for_sent(from, now);
+        drop_acknowledged(*from.in_flight, from.match);
+        reset_entry_deadline(from, now);
     }
-    const auto last = from.on_the_way ? from.on_the_way->last : from.match;
+    const auto last = from.in_flight ? from.in_flight->last : from.match;
     from.next = from.probing ? last + 1 : std::max(from.next, last + 1);
     from.probing = false;
 }
@@ -87,10 +87,10 @@
 // A heartbeat that overtook the entries before it is rejected, and they may
 // still come. Taken for lost at once they were sent again at each heartbeat:
 // with 500 KB to four followers on 86 Mbit/s no leader kept its lease.
-void replica::note_rejection(peer& from, log_index hint, time_point now)
+void replica::record_rejection(peer& from, log_index hint, time_point now)
 {
-    const auto& sent = from.on_the_way;
-    if (sent && sent->first <= hint + 1 && now < sent->until)
+    const auto& sent = from.in_flight;
+    if (sent && sent->first <= hint + 1 && now < sent->deadline)
     {
         return;
     }
@@ -98,13 +98,13 @@
     {
         ++from.resends;
     }
-    from.on_the_way.reset();
+    from.in_flight.reset();
     from.next = std::max(from.match, std::min(hint, from.next - 1)) + 1;
     from.probing = true;
     from.probe_sent = false;
 }
 
-void replica::note_sent(
+void replica::record_sent(
     peer& to, const messages::append_request& request, time_point now)
 {
     if (request.entries().empty())
@@ -112,50 +112,51 @@
         return;
     }
     const auto first = request.entries().begin()->index();
-    const sent_part part{
+    const in_flight_message added{
         request.entries().rbegin()->index(), request.ByteSizeLong()};
-    auto& sent = to.on_the_way;
+    auto& sent = to.in_flight;
     if (sent && first == sent->last + 1)
     {
         // The first of them is due when it was: new ones that came each 33 ms
         // put off for good what the loss of an earlier one asked for.
-        sent->last = part.last;
-        sent->parts.push_back(part);
-        sent->bytes += part.bytes;
+        sent->last = added.last;
+        sent->unacknowledged.push_back(added);
+        sent->bytes += added.bytes;
         return;
     }
-    sent = sent_entries{first, part.last, {part}, part.bytes, now};
-    wait_for_sent(to, now);
+    sent = in_flight_entries{first, added.last, {added}, added.bytes, now};
+    reset_entry_deadline(to, now);
 }
 
-void replica::forget_arrived(sent_entries& sent, log_index match)
+void replica::drop_acknowledged(in_flight_entries& sent, log_index match)
 {
-    while (!sent.parts.empty() && sent.parts.front().last <= match)
+    while (!sent.unacknowledged.empty() &&
+           sent.unacknowledged.front().last <= match)
     {
-        sent.bytes -= sent.parts.front().bytes;
-        sent.parts.pop_front();
+        sent.bytes -= sent.unacknowledged.front().bytes;
+        sent.unacknowledged.pop_front();
     }
 }
 
-void replica::wait_for_sent(peer& to, time_point now) const
+void replica::reset_entry_deadline(peer& to, time_point now) const
 {
-    auto& sent = *to.on_the_way;
+    auto& sent = *to.in_flight;
     const auto retry = settings_.timing.entry_retry;
-    sent.until = now + wait_for(sent.bytes, retry, to.resends);
+    sent.deadline = now + loss_timeout(sent.bytes, retry, to.resends);
 }
 
 // Twice as long after each loss, so that a line that is slower than expected
 // isn't given everything again and again.
 duration
-replica::wait_for(std::size_t bytes, duration retry, unsigned resends) const
+replica::loss_timeout(std::size_t bytes, duration retry, unsigned resends) const
 {
     const std::chrono::duration<double> transfer(
         static_cast<double>(bytes) / settings_.limits.bytes_per_second);
     const auto once = retry + std::chrono::duration_cast<duration>(transfer);
-    return once * (1U << std::min(resends, most_doublings));
+    return once * (1U << std::min(resends, max_doublings));
 }
 
-void replica::note_round(peer& from, std::uint64_t round)
+void replica::record_round(peer& from, std::uint64_t round)
 {
     if (round <= from.acknowledged_round)
     {
@@ -173,13 +174,13 @@
 }
 
 // A late reply of an earlier run takes a proof from the follower, no more.
-void replica::note_reply_time(peer& from, const messages::append_reply& reply)
+void replica::record_reply_time(peer& from, const messages::append_reply& reply)
 {
-    const bool same_run = from.heard_run == reply.run();
-    from.heard_run = reply.run();
-    from.heard_reply_us =
-        same_run ? std::max(from.heard_reply_us, reply.replied_us())
-                 : reply.replied_us();
+    const bool same_run = from.last_reply_run == reply.run();
+    from.last_reply_run = reply.run();
+    from.last_reply_us = same_run
+                             ? std::max(from.last_reply_us, reply.replied_us())
+                             : reply.replied_us();
 }
 
 void replica::refresh_peers()
@@ -233,8 +234,8 @@
     {
         const bool behind = progress.next <= log_.base_index();
         const bool overdue =
-            progress.installing_until && now >= *progress.installing_until;
-        if ((behind && !progress.installing_until) || overdue)
+            progress.snapshot_deadline && now >= *progress.snapshot_deadline;
+        if ((behind && !progress.snapshot_deadline) || overdue)
         {
             send_snapshot(id, progress, now);
         }
@@ -245,7 +246,7 @@
 void replica::send_entries(
     replica_id to, peer& progress, bool heartbeat, time_point now)
 {
-    if (progress.installing_until)
+    if (progress.snapshot_deadline)
     {
         // Keeps the follower from standing while it takes the snapshot in.
         if (heartbeat)
@@ -263,7 +264,7 @@
         }
         return;
     }
-    while (progress.next <= log_.last_index() && has_room(progress))
+    while (progress.next <= log_.last_index() && can_send_more(progress))
     {
         send_append(to, progress, now);
         heartbeat = false;
@@ -274,9 +275,9 @@
     }
 }
 
-bool replica::has_room(const peer& to) const
+bool replica::can_send_more(const peer& to) const
 {
-    const auto bytes = to.on_the_way ? to.on_the_way->bytes : 0;
+    const auto bytes = to.in_flight ? to.in_flight->bytes : 0;
     return to.next - to.match <= settings_.limits.entries_in_flight &&
            bytes < settings_.limits.bytes_in_flight;
 }
@@ -294,16 +295,16 @@
     {
         using std::chrono::microseconds;
         const auto age = std::chrono::ceil<microseconds>(
-            std::max(now - majority_heard_at(), duration::zero()));
-        request.set_heard_run(progress.heard_run);
-        request.set_heard_reply_us(progress.heard_reply_us);
+            std::max(now - majority_acknowledged_at(), duration::zero()));
+        request.set_heard_run(progress.last_reply_run);
+        request.set_heard_reply_us(progress.last_reply_us);
         request.set_proof_age_us(static_cast<std::uint64_t>(age.count()));
     }
     std::size_t bytes = 0;
     const auto& limits = settings_.limits;
-    const bool is_waiting = progress.probing && progress.on_the_way &&
-                            now < progress.on_the_way->until;
-    const bool with_entries = !progress.installing_until && !is_waiting;
+    const bool is_waiting = progress.probing && progress.in_flight &&
+                            now < progress.in_flight->deadline;
+    const bool with_entries = !progress.snapshot_deadline && !is_waiting;
     for (auto index = previous + 1; with_entries && index <= log_.last_index();
          ++index)
     {
@@ -317,12 +318,12 @@
         }
         *request.add_entries() = entry;
     }
-    note_sent(progress, request, now);
-    if (!progress.probing && !progress.installing_until)
+    record_sent(progress, request, now);
+    if (!progress.probing && !progress.snapshot_deadline)
     {
         progress.next += static_cast<log_index>(request.entries_size());
     }
-    early_.push_back(std::move(message));
+    early_messages_.push_back(std::move(message));
 }
 
 void replica::send_snapshot(replica_id to, peer& progress, time_point now)
@@ -335,16 +336,16 @@
     auto message = make_message(to);
     message.mutable_install()->set_round(round_);
     *message.mutable_install()->mutable_content() = *std::move(content);
-    if (progress.installing_until)
+    if (progress.snapshot_deadline)
     {
         ++progress.resends;
     }
     const auto retry = settings_.timing.snapshot_retry;
-    progress.installing_until =
-        now + wait_for(message.ByteSizeLong(), retry, progress.resends);
+    progress.snapshot_deadline =
+        now + loss_timeout(message.ByteSizeLong(), retry, progress.resends);
     progress.probing = true;
     progress.probe_sent = false;
-    early_.push_back(std::move(message));
+    early_messages_.push_back(std::move(message));
 }
 
 bool replica::own_term_committed() const
@@ -369,7 +370,7 @@
     {
         return;
     }
-    const auto agreed = reached_by(std::move(matches), quorum());
+    const auto agreed = value_reached_by(std::move(matches), quorum());
     if (agreed <= commit() || log_.term_at(agreed) != term())
     {
         return;
@@ -395,16 +396,16 @@
         rounds.push_back(
             known == peers_.end() ? round_ : known->second.acknowledged_round);
     }
-    const auto agreed = reached_by(std::move(rounds), quorum());
+    const auto agreed = value_reached_by(std::move(rounds), quorum());
     while (!reads_.empty() && reads_.front().round &&
            *reads_.front().round <= agreed)
     {
-        confirmed_.push_back({reads_.front().ticket, commit()});
+        confirmed_reads_.push_back({reads_.front().ticket, commit()});
         reads_.pop_front();
     }
 }
 
-time_point replica::majority_heard_at() const
+time_point replica::majority_acknowledged_at() const
 {
     std::vector<time_point> starts;
     for (const auto id : voters())
@@ -419,13 +420,13 @@
     {
         return lease_floor_;
     }
-    const auto agreed = reached_by(std::move(starts), quorum());
+    const auto agreed = value_reached_by(std::move(starts), quorum());
     return std::max(agreed, lease_floor_);
 }
 
 time_point replica::lease_end() const
 {
-    return majority_heard_at() + settings_.timing.election_timeout;
+    return majority_acknowledged_at() + settings_.timing.election_timeout;
 }
 
 bool replica::holds_lease(time_point now) const
@@ -444,9 +445,9 @@
             {id,
              known.match,
              active,
-             known.installing_until.has_value(),
+             known.snapshot_deadline.has_value(),
              known.declines_leadership,
-             known.on_the_way ? known.on_the_way->bytes : 0,
+             known.in_flight ? known.in_flight->bytes : 0,
              known.resends});
     }
     return all;
@@ -464,7 +465,7 @@
         return;
     }
     const auto target = peers_.find(transfer_->target);
-    if (target == peers_.end() || transfer_->told ||
+    if (target == peers_.end() || transfer_->request_sent ||
         target->second.match != log_.last_index())
     {
         return;
@@ -472,7 +473,7 @@
     auto message = make_message(transfer_->target);
     message.mutable_stand();
     queue(std::move(message));
-    transfer_->told = true;
+    transfer_->request_sent = true;
 }
 
 } // namespace nutmegusher
--- a/nutmegusher/control/replica_log.cpp
+++ b/nutmegusher/control/replica_log.cpp
@@ -104,9 +104,9 @@
     const auto after = std::find_if(
         memberships_.begin(),
         memberships_.end(),
-        [index](const membership_point& point)
+        [index](const indexed_membership& membership)
         {
-            return point.index > index;
+            return membership.index > index;
         });
     if (after == memberships_.begin())
     {
--- a/nutmegusher/control/replica_log.hpp
+++ b/nutmegusher/control/replica_log.hpp
@@ -83,7 +83,7 @@
     members_at(log_index index) const;
 
 private:
-    struct membership_point
+    struct indexed_membership
     {
         log_index index = 0;
         messages::replica_set members;
@@ -93,7 +93,7 @@
     log_term base_term_ = 0;
     std::deque<messages::log_entry> entries_;
     // Rising indexes; the first one is at or below the base.
-    std::vector<membership_point> memberships_;
+    std::vector<indexed_membership> memberships_;
 };
 
 } // namespace nutmegusher
--- a/nutmegusher/control/replica_requests.cpp
+++ b/nutmegusher/control/replica_requests.cpp
@@ -53,10 +53,10 @@
     {
         return leaf::new_error(replica_failure{replica_refusal::busy});
     }
-    return append_own(std::move(payload));
+    return append_to_log(std::move(payload));
 }
 
-proposal_position replica::append_own(messages::log_entry entry)
+proposal_position replica::append_to_log(messages::log_entry entry)
 {
     entry.set_index(log_.last_index() + 1);
     entry.set_term(term());
@@ -79,7 +79,7 @@
     }
     messages::log_entry entry;
     *entry.mutable_membership() = std::move(members);
-    const auto position = append_own(std::move(entry));
+    const auto position = append_to_log(std::move(entry));
     refresh_peers();
     return position;
 }
--- a/nutmegusher/control/replica_rules_test.cpp
+++ b/nutmegusher/control/replica_rules_test.cpp
@@ -227,7 +227,7 @@
     std::optional<replica> core;
 };
 
-TEST_F(elected_replica, commits_older_entries_only_with_one_of_its_own)
+TEST_F(elected_replica, commits_older_entries_only_with_one_of_its_own_term)
 {
     ASSERT_EQ(core->role(), replica_role::leader);
     save();
@@ -237,7 +237,7 @@
     EXPECT_EQ(core->commit(), 3U);
 }
 
-TEST_F(elected_replica, changes_no_membership_before_an_entry_of_its_own)
+TEST_F(elected_replica, changes_no_membership_before_committing_in_its_own_term)
 {
     save();
     EXPECT_EQ(
@@ -288,7 +288,7 @@
     EXPECT_EQ(core->commit(), 4U);
 }
 
-TEST_F(elected_replica, sends_a_large_entry_once_while_it_looks_for_agreement)
+TEST_F(elected_replica, sends_a_large_entry_once_while_probing)
 {
     // Member 2 has nothing of what this leader took over.
     save();
@@ -321,7 +321,7 @@
 
 // A follower that lacks many large entries has as much of them on the way as
 // its line carries in a moment; the rest follows as it answers.
-TEST_F(elected_replica, has_few_bytes_on_the_way_to_one_follower)
+TEST_F(elected_replica, bounds_the_bytes_in_flight_to_one_follower)
 {
     save();
     acknowledge(3);
--- a/nutmegusher/control/replica_test.cpp
+++ b/nutmegusher/control/replica_test.cpp
@@ -69,7 +69,7 @@
     cluster hosts(3, seed);
     accept(hosts, "before");
     auto& old_leader = *hosts.leader();
-    hosts.cut({old_leader.name()});
+    hosts.partition({old_leader.name()});
     EXPECT_TRUE(hosts.propose(old_leader, "lost"));
     EXPECT_TRUE(hosts.read(old_leader));
     ASSERT_TRUE(hosts.run_until(
@@ -117,7 +117,7 @@
     auto& leader = *hosts.leader();
     const auto term = leader.running().core().term();
     auto& other = &leader == &hosts.hosts[0] ? hosts.hosts[1] : hosts.hosts[0];
-    hosts.cut({other.name()});
+    hosts.partition({other.name()});
     hosts.run(std::chrono::seconds(10));
     hosts.heal();
     hosts.run(std::chrono::seconds(3));
@@ -159,7 +159,7 @@
     accept(hosts, "first");
     auto& leader = *hosts.leader();
     auto& other = &leader == &hosts.hosts[0] ? hosts.hosts[1] : hosts.hosts[0];
-    hosts.cut({other.name()});
+    hosts.partition({other.name()});
     for (int i = 0; i < 100; ++i)
     {
         accept(hosts, "item-" + std::to_string(i));
@@ -209,9 +209,9 @@
 {
     using namespace std::chrono_literals;
     duration longest{0};
-    for (std::uint64_t luck = 0; luck < 20; ++luck)
+    for (std::uint64_t seed_offset = 0; seed_offset < 20; ++seed_offset)
     {
-        cluster hosts(5, seed + luck);
+        cluster hosts(5, seed + seed_offset);
         accept(hosts, "first");
         for (auto& each : hosts.hosts)
         {
--- a/nutmegusher/control/replicated_group.hpp
+++ b/nutmegusher/control/replicated_group.hpp
@@ -54,7 +54,7 @@
     listener.leadership_changed(present);
 };
 
-// One group on one host. After any failure of `turn` the group must be
+// One group on one host. After any failure of `process_ready` the group must be
 // destroyed: what it promised last may not be durable. Opening it again is the
 // same as a restart.
 template <disk Disk, state_machine Machine>
@@ -96,7 +96,7 @@
 
     // Writes the first snapshot of a new group. Requires: the group was never
     // opened on this disk.
-    [[nodiscard]] static leaf::result<void> found(
+    [[nodiscard]] static leaf::result<void> bootstrap(
         Disk& target, std::uint32_t group, const messages::replica_set& members)
     {
         messages::snapshot first;
@@ -128,7 +128,7 @@
     // The last entry that `machine` has applied.
     [[nodiscard]] log_index applied() const
     {
-        return applied_;
+        return applied_index_;
     }
 
     // The last entry that the durable snapshot covers.
@@ -145,11 +145,12 @@
     // Persists, sends and applies whatever is due. Fails with
     // `storage_failure`, or with what `Machine::restore` fails with.
     template <group_listener<result_type> Listener>
-    [[nodiscard]] leaf::result<void> turn(Listener& listener, time_point now)
+    [[nodiscard]] leaf::result<void>
+    process_ready(Listener& listener, time_point now)
     {
         while (auto ready = core_.take_ready(now))
         {
-            BOOST_LEAF_CHECK(perform(*ready, listener));
+            BOOST_LEAF_CHECK(process(*ready, listener));
         }
         if (snapshot_due())
         {
@@ -162,13 +163,13 @@
     [[nodiscard]] leaf::result<void> take_snapshot()
     {
         messages::snapshot content;
-        content.set_last_index(applied_);
-        content.set_last_term(core_.log().term_at(applied_).value_or(0));
-        *content.mutable_members() = core_.log().members_at(applied_);
+        content.set_last_index(applied_index_);
+        content.set_last_term(core_.log().term_at(applied_index_).value_or(0));
+        *content.mutable_members() = core_.log().members_at(applied_index_);
         content.set_state(machine_.snapshot());
-        BOOST_LEAF_CHECK(storage_.save_snapshot(content, kept_log()));
-        snapshot_index_ = applied_;
-        core_.compact(kept_behind());
+        BOOST_LEAF_CHECK(storage_.save_snapshot(content, retained_log()));
+        snapshot_index_ = applied_index_;
+        core_.compact(compaction_index());
         return {};
     }
 
@@ -183,7 +184,7 @@
         , storage_(std::move(storage))
         , machine_(std::move(machine))
         , core_(std::move(core))
-        , applied_(base)
+        , applied_index_(base)
         , snapshot_index_(base)
     {
         core_.set_snapshot_source(
@@ -207,7 +208,7 @@
     }
 
     template <class Listener>
-    leaf::result<void> perform(replica_ready& ready, Listener& listener)
+    leaf::result<void> process(replica_ready& ready, Listener& listener)
     {
         for (auto& message : ready.early_messages)
         {
@@ -232,7 +233,7 @@
         {
             apply(entry, listener);
         }
-        report(ready, listener);
+        notify_listener(ready, listener);
         return {};
     }
 
@@ -243,15 +244,15 @@
         {
             BOOST_LEAF_ASSIGN(machine_, Machine::restore(content.state()));
         }
-        applied_ = content.last_index();
-        snapshot_index_ = applied_;
+        applied_index_ = content.last_index();
+        snapshot_index_ = applied_index_;
         return {};
     }
 
     template <class Listener>
     void apply(const messages::log_entry& entry, Listener& listener)
     {
-        applied_ = entry.index();
+        applied_index_ = entry.index();
         if (entry.has_membership())
         {
             listener.members_changed(entry.membership());
@@ -263,7 +264,7 @@
     }
 
     template <class Listener>
-    void report(const replica_ready& ready, Listener& listener)
+    void notify_listener(const replica_ready& ready, Listener& listener)
     {
         for (const auto& read : ready.reads)
         {
@@ -284,20 +285,20 @@
         const auto ratio = policy_.log_to_snapshot_ratio;
         const auto weight = ratio * double(storage_.snapshot_bytes());
         const bool enough =
-            applied_ - snapshot_index_ >= policy_.entries_between ||
+            applied_index_ - snapshot_index_ >= policy_.entries_between ||
             storage_.log_bytes() >= policy_.bytes_between;
-        return enough && applied_ > snapshot_index_ &&
+        return enough && applied_index_ > snapshot_index_ &&
                double(storage_.log_bytes()) >= weight;
     }
 
     // What stays in the log behind a snapshot starts above this index.
-    [[nodiscard]] log_index kept_behind() const
+    [[nodiscard]] log_index compaction_index() const
     {
         const auto& log = core_.log();
-        auto index = applied_;
+        auto index = applied_index_;
         std::uint64_t bytes = 0;
         while (index > log.base_index() &&
-               applied_ - index < policy_.entries_kept)
+               applied_index_ - index < policy_.entries_kept)
         {
             bytes += log.at(index).ByteSizeLong();
             if (bytes > policy_.bytes_kept)
@@ -309,15 +310,15 @@
         return index;
     }
 
-    // The log file that goes with a snapshot of `applied_`.
-    [[nodiscard]] messages::log_frame kept_log() const
+    // The log file that goes with a snapshot of `applied_index_`.
+    [[nodiscard]] messages::log_frame retained_log() const
     {
         messages::log_frame frame;
         frame.mutable_state()->set_term(core_.hard_state().term());
         frame.mutable_state()->set_voted_for(core_.hard_state().voted_for());
         frame.mutable_state()->set_commit(core_.commit());
         const auto& log = core_.log();
-        for (auto i = applied_ + 1; i <= log.last_index(); ++i)
+        for (auto i = applied_index_ + 1; i <= log.last_index(); ++i)
         {
             *frame.add_entries() = log.at(i);
         }
@@ -328,7 +329,7 @@
     group_storage<Disk> storage_;
     Machine machine_;
     replica core_;
-    log_index applied_;
+    log_index applied_index_;
     log_index snapshot_index_;
 };
 
--- a/nutmegusher/control/route_check.cpp
+++ b/nutmegusher/control/route_check.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-using finding = std::optional<configuration_problem>;
+using optional_problem = std::optional<configuration_problem>;
 using name_set = std::set<std::string_view>;
 
-finding found(
+optional_problem make_problem(
     messages::change_problem problem,
     const messages::request_route& route,
     std::string_view field)
@@ -29,7 +29,7 @@
     return !text.empty() && text.front() == '/' && text.back() == '/';
 }
 
-finding check_destinations(
+optional_problem check_destinations(
     const messages::request_route& route, const name_set& services)
 {
     double sum = 0;
@@ -37,48 +37,49 @@
     {
         if (!services.contains(destination.service()))
         {
-            return found(
+            return make_problem(
                 messages::problem_unknown_service, route, "destinations");
         }
         if (!std::isfinite(destination.weight()) || destination.weight() < 0)
         {
-            return found(
+            return make_problem(
                 messages::problem_negative_weight, route, "destinations");
         }
         sum += destination.weight();
     }
     if (sum <= 0)
     {
-        return found(messages::problem_no_weight, route, "destinations");
+        return make_problem(messages::problem_no_weight, route, "destinations");
     }
     return std::nullopt;
 }
 
-finding
+optional_problem
 check_route(const messages::request_route& route, const name_set& services)
 {
     if (route.host().empty())
     {
-        return found(messages::problem_empty_host, route, "host");
+        return make_problem(messages::problem_empty_host, route, "host");
     }
     if (!is_prefix(route.path_prefix()))
     {
-        return found(messages::problem_bad_path, route, "path_prefix");
+        return make_problem(messages::problem_bad_path, route, "path_prefix");
     }
     if (route.deadline_ms() == 0)
     {
-        return found(messages::problem_zero_deadline, route, "deadline_ms");
+        return make_problem(
+            messages::problem_zero_deadline, route, "deadline_ms");
     }
     if (route.max_tries() == 0)
     {
-        return found(messages::problem_zero_tries, route, "max_tries");
+        return make_problem(messages::problem_zero_tries, route, "max_tries");
     }
     return check_destinations(route, services);
 }
 
 } // namespace
 
-finding check_routes(const messages::route_document& document)
+optional_problem check_routes(const messages::route_document& document)
 {
     name_set services;
     for (const auto& service : document.services())
@@ -94,16 +95,16 @@
                 messages::problem_repeated_name, "services." + service.name()};
         }
     }
-    std::set<std::pair<std::string_view, std::string_view>> places;
+    std::set<std::pair<std::string_view, std::string_view>> matches;
     for (const auto& route : document.routes())
     {
         if (auto problem = check_route(route, services))
         {
             return problem;
         }
-        if (!places.emplace(route.host(), route.path_prefix()).second)
+        if (!matches.emplace(route.host(), route.path_prefix()).second)
         {
-            return found(
+            return make_problem(
                 messages::problem_overlapping_match, route, "path_prefix");
         }
     }
--- a/nutmegusher/control/route_document_test.cpp
+++ b/nutmegusher/control/route_document_test.cpp
@@ -38,10 +38,10 @@
     return change;
 }
 
-struct wrong_document
+struct invalid_document
 {
     messages::change_problem problem;
-    std::function<void(messages::route_document&)> spoil;
+    std::function<void(messages::route_document&)> corrupt;
 };
 
 TEST(route_check, names_what_is_wrong)
@@ -50,7 +50,7 @@
     {
         return of.mutable_routes(0);
     };
-    const std::vector<wrong_document> all{
+    const std::vector<invalid_document> all{
         {messages::problem_unknown_service,
          [&](auto& it)
          {
@@ -99,14 +99,14 @@
     EXPECT_FALSE(check_routes(document(1, 0)));
     for (const auto& each : all)
     {
-        auto spoiled = document(1, 0);
-        each.spoil(spoiled);
-        const auto found = check_routes(spoiled);
+        auto corrupted = document(1, 0);
+        each.corrupt(corrupted);
+        const auto found = check_routes(corrupted);
         ASSERT_TRUE(found) << each.problem;
         EXPECT_EQ(found->problem, each.problem);
         configuration_store store;
         EXPECT_EQ(
-            store.apply(install("x", spoiled)).verdict(),
+            store.apply(install("x", corrupted)).verdict(),
             messages::change_invalid);
         EXPECT_EQ(store.revision(), revision(0));
     }
@@ -171,7 +171,7 @@
     EXPECT_EQ(restored->apply(again).verdict(), messages::change_accepted);
 
     messages::configuration follower;
-    apply_delta(follower, restored->since(revision(0)));
+    apply_delta(follower, restored->delta_since(revision(0)));
     EXPECT_EQ(follower.routes().version(), 5U);
     EXPECT_EQ(follower.revision(), 2U);
     const auto& kept = restored->history().front().what();
--- a/nutmegusher/control/storage_test.cpp
+++ b/nutmegusher/control/storage_test.cpp
@@ -141,7 +141,7 @@
     EXPECT_EQ(loaded_entries(target), 2U);
 }
 
-TEST(group_storage, misses_the_files_of_a_group_that_was_used)
+TEST(group_storage, fails_if_the_files_of_a_used_group_are_missing)
 {
     memory_disk target;
     group_storage<memory_disk> storage(target, 0);
--- a/nutmegusher/control/test_cluster.cpp
+++ b/nutmegusher/control/test_cluster.cpp
@@ -81,7 +81,7 @@
 {
     group_.reset();
     open_reads.clear();
-    owner_.waiting_.erase(name_);
+    owner_.pending_proposals_.erase(name_);
     disk.crash(owner_.engine);
     frozen = false;
 }
@@ -92,7 +92,7 @@
     disk.wipe();
 }
 
-void host::turn()
+void host::process_ready()
 {
     if (!up())
     {
@@ -101,7 +101,8 @@
     const bool good = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
         {
-            BOOST_LEAF_CHECK(group_->turn(*this, owner_.now + clock_offset));
+            BOOST_LEAF_CHECK(
+                group_->process_ready(*this, owner_.now + clock_offset));
             return true;
         },
         []
@@ -112,7 +113,7 @@
     {
         group_.reset();
         open_reads.clear();
-        owner_.waiting_.erase(name_);
+        owner_.pending_proposals_.erase(name_);
     }
 }
 
@@ -121,7 +122,7 @@
     if (up() && !frozen)
     {
         group_->core().tick(owner_.now + clock_offset);
-        turn();
+        process_ready();
     }
 }
 
@@ -132,9 +133,9 @@
 
 void host::applied(const messages::log_entry& entry, const std::string& item)
 {
-    owner_.note_applied(*this, entry);
-    const auto waiting = owner_.waiting_.find(name_);
-    if (waiting == owner_.waiting_.end())
+    owner_.record_applied(*this, entry);
+    const auto waiting = owner_.pending_proposals_.find(name_);
+    if (waiting == owner_.pending_proposals_.end())
     {
         return;
     }
@@ -145,7 +146,7 @@
     }
     if (position->second.first == entry.term())
     {
-        owner_.note_acknowledged(item);
+        owner_.record_acknowledged(item);
     }
     waiting->second.erase(position);
 }
@@ -170,7 +171,7 @@
     const auto open = open_reads.find(read.ticket);
     if (open != open_reads.end())
     {
-        owner_.note_read(*this, read, open->second);
+        owner_.check_read(*this, read, open->second);
         open_reads.erase(open);
         ++reads_done;
     }
@@ -186,7 +187,7 @@
 {
     if (present.leader == id_)
     {
-        owner_.note_leader(*this);
+        owner_.record_leader(*this);
     }
 }
 
@@ -202,20 +203,20 @@
             fail("a host doesn't start on an empty disk");
         }
     }
-    auto& founder = hosts.front();
-    founder.crash();
-    const bool founded = leaf::try_handle_all(
+    auto& first_host = hosts.front();
+    first_host.crash();
+    const bool bootstrapped = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
         {
             members_ = all_voters();
-            BOOST_LEAF_CHECK(group::found(founder.disk, 0, members_));
+            BOOST_LEAF_CHECK(group::bootstrap(first_host.disk, 0, members_));
             return true;
         },
         []
         {
             return false;
         });
-    if (!founded || !founder.start())
+    if (!bootstrapped || !first_host.start())
     {
         fail("the group can't be founded");
     }
@@ -253,7 +254,7 @@
     while (now < end)
     {
         now += step_length;
-        send_on_lines();
+        send_on_links();
         deliver();
         for (auto& each : hosts)
         {
@@ -261,7 +262,7 @@
         }
         for (const auto& each : hosts)
         {
-            check_current(each);
+            check_freshness(each);
         }
     }
 }
@@ -272,7 +273,7 @@
     {
         const auto next = std::move(network_.begin()->second);
         network_.erase(network_.begin());
-        if (cut_.contains(next.from) != cut_.contains(next.to))
+        if (partitioned_.contains(next.from) != partitioned_.contains(next.to))
         {
             continue;
         }
@@ -287,7 +288,7 @@
             continue;
         }
         target->running().core().step(next.message, now + target->clock_offset);
-        target->turn();
+        target->process_ready();
     }
 }
 
@@ -295,20 +296,20 @@
     const std::string& from, const messages::replica_message& message)
 {
     const auto* target = find(replica_id(message.to()));
-    if (target == nullptr || uniform_below(engine, 100) < faults.lost_percent)
+    if (target == nullptr || uniform_below(engine, 100) < faults.loss_percent)
     {
         return;
     }
-    if (line && (line->only_to.empty() || line->only_to == target->name()))
+    if (link &&
+        (link->only_to_host.empty() || link->only_to_host == target->name()))
     {
-        lines_[{from, target->name()}].waiting.push_back(
+        links_[{from, target->name()}].waiting.push_back(
             {message, from, target->name()});
         return;
     }
-    const auto spread =
-        static_cast<std::uint64_t>(faults.longest_delay.count());
+    const auto spread = static_cast<std::uint64_t>(faults.max_delay.count());
     const auto copies =
-        uniform_below(engine, 100) < faults.repeated_percent ? 2 : 1;
+        uniform_below(engine, 100) < faults.duplicate_percent ? 2 : 1;
     for (int i = 0; i < copies; ++i)
     {
         const duration delay(
@@ -317,25 +318,25 @@
     }
 }
 
-void cluster::send_on_lines()
+void cluster::send_on_links()
 {
-    for (auto& [ends, each] : lines_)
+    for (auto& [ends, each] : links_)
     {
         auto waiting = std::exchange(each.waiting, {});
         for (std::size_t next = 0; next < waiting.size();)
         {
             const auto first = next;
             std::size_t bytes = 0;
-            while (next < waiting.size() && bytes < line->batch_bytes)
+            while (next < waiting.size() && bytes < link->batch_bytes)
             {
                 bytes += waiting[next++].message.ByteSizeLong();
             }
             const std::chrono::duration<double> seconds(
-                static_cast<double>(bytes) / line->bytes_per_second);
+                static_cast<double>(bytes) / link->bytes_per_second);
             const auto begins = std::max(now, each.free_at);
             const auto arrives =
                 begins + std::chrono::duration_cast<duration>(seconds);
-            const auto given_up = now + line->longest_transfer;
+            const auto given_up = now + link->max_transfer_time;
             each.free_at = std::min(arrives, std::max(begins, given_up));
             for (auto at = first; arrives <= given_up && at < next; ++at)
             {
@@ -399,8 +400,8 @@
     {
         return false;
     }
-    waiting_[at.name()][position->index] = {position->term, item};
-    at.turn();
+    pending_proposals_[at.name()][position->index] = {position->term, item};
+    at.process_ready();
     return true;
 }
 
@@ -426,15 +427,15 @@
         return false;
     }
     std::size_t known = 0;
-    for (std::size_t i = 0; i < order_.size(); ++i)
+    for (std::size_t i = 0; i < committed_items_.size(); ++i)
     {
-        if (acknowledged_.contains(order_[i]))
+        if (acknowledged_.contains(committed_items_[i]))
         {
             known = i + 1;
         }
     }
     at.open_reads[*ticket] = known;
-    at.turn();
+    at.process_ready();
     return true;
 }
 
@@ -459,7 +460,7 @@
     {
         pending_members_.push_back(members);
     }
-    at.turn();
+    at.process_ready();
     return done;
 }
 
@@ -511,17 +512,17 @@
     return lost.size();
 }
 
-void cluster::cut(const std::set<std::string>& side)
+void cluster::partition(const std::set<std::string>& side)
 {
-    cut_ = side;
+    partitioned_ = side;
 }
 
 void cluster::heal()
 {
-    cut_.clear();
+    partitioned_.clear();
 }
 
-void cluster::note_applied(host& at, const messages::log_entry& entry)
+void cluster::record_applied(host& at, const messages::log_entry& entry)
 {
     const auto text = std::to_string(entry.term()) + "/" +
                       entry.configuration_change().change_id();
@@ -534,24 +535,25 @@
     }
     if (added)
     {
-        order_.push_back(entry.configuration_change().change_id());
+        committed_items_.push_back(entry.configuration_change().change_id());
     }
     check_restored(at, at.running().machine().items());
 }
 
-void cluster::note_acknowledged(const std::string& item)
+void cluster::record_acknowledged(const std::string& item)
 {
     acknowledged_.insert(item);
-    const auto place = std::find(order_.rbegin(), order_.rend(), item);
+    const auto place =
+        std::find(committed_items_.rbegin(), committed_items_.rend(), item);
     const auto count =
-        static_cast<std::size_t>(std::distance(place, order_.rend()));
+        static_cast<std::size_t>(std::distance(place, committed_items_.rend()));
     const auto before =
         acknowledged_at_.empty() ? 0 : acknowledged_at_.back().second;
     acknowledged_at_.emplace_back(now, std::max(before, count));
 }
 
 // What a host claims to know up to a moment it must have.
-void cluster::check_current(const host& at)
+void cluster::check_freshness(const host& at)
 {
     if (!at.up())
     {
@@ -577,15 +579,15 @@
     const host& at, const std::vector<std::string>& items)
 {
     const bool is_prefix =
-        items.size() <= order_.size() &&
-        (items.empty() || items.back() == order_[items.size() - 1]);
+        items.size() <= committed_items_.size() &&
+        (items.empty() || items.back() == committed_items_[items.size() - 1]);
     if (!is_prefix)
     {
         fail(at.name() + " holds a state that was never committed");
     }
 }
 
-void cluster::note_leader(host& at)
+void cluster::record_leader(host& at)
 {
     auto& core = at.running().core();
     const auto [known, added] = leaders_.emplace(core.term(), at.id());
@@ -595,7 +597,7 @@
     }
 }
 
-void cluster::note_read(host& at, confirmed_read read, std::size_t known)
+void cluster::check_read(host& at, confirmed_read read, std::size_t known)
 {
     auto& running = at.running();
     if (running.applied() < read.index ||
--- a/nutmegusher/control/test_cluster.hpp
+++ b/nutmegusher/control/test_cluster.hpp
@@ -55,7 +55,7 @@
     // The disk is replaced by an empty one, under a new identity.
     void replace_disk();
     // Runs what is due; a storage failure stops the host.
-    void turn();
+    void process_ready();
     void tick();
 
     // For `replicated_group`.
@@ -118,21 +118,21 @@
 // How the network treats each message.
 struct network_faults
 {
-    std::uint32_t lost_percent = 0;
-    std::uint32_t repeated_percent = 0;
-    duration longest_delay = std::chrono::milliseconds(1);
+    std::uint32_t loss_percent = 0;
+    std::uint32_t duplicate_percent = 0;
+    duration max_delay = std::chrono::milliseconds(1);
 };
 
 // The line from one host to another, as `control_peers` uses it: what leaves
 // in one moment travels as batches, and a batch that takes too long is lost
 // whole.
-struct network_line
+struct network_link
 {
     double bytes_per_second = 0;
     std::size_t batch_bytes = 8 * 1024 * 1024;
-    duration longest_transfer = std::chrono::seconds(1);
+    duration max_transfer_time = std::chrono::seconds(1);
     // Set: only what goes to this host.
-    std::string only_to = {};
+    std::string only_to_host = {};
 };
 
 class cluster
@@ -177,7 +177,7 @@
     [[nodiscard]] std::size_t lost_voters();
 
     // Messages between the two sides are lost until `heal`.
-    void cut(const std::set<std::string>& side);
+    void partition(const std::set<std::string>& side);
     void heal();
 
     // The first thing that should never happen; empty: nothing did.
@@ -213,7 +213,7 @@
     std::deque<host> hosts;
     network_faults faults;
     // Set: messages also take the time that their bytes take.
-    std::optional<network_line> line;
+    std::optional<network_link> link;
     snapshot_policy policy;
     replica_timing timing;
     time_point now{std::chrono::hours(1)};
@@ -230,30 +230,30 @@
 
     void
     post(const std::string& from, const messages::replica_message& message);
-    void send_on_lines();
+    void send_on_links();
     void deliver();
-    void note_applied(host& at, const messages::log_entry& entry);
-    void note_acknowledged(const std::string& item);
-    void check_current(const host& at);
-    void note_leader(host& at);
-    void note_read(host& at, confirmed_read read, std::size_t known);
+    void record_applied(host& at, const messages::log_entry& entry);
+    void record_acknowledged(const std::string& item);
+    void check_freshness(const host& at);
+    void record_leader(host& at);
+    void check_read(host& at, confirmed_read read, std::size_t known);
     void check_restored(const host& at, const std::vector<std::string>& items);
     void fail(const std::string& what);
 
     // What waits for a line, and until when the line is taken.
-    struct line_state
+    struct link_state
     {
         std::vector<envelope> waiting;
         time_point free_at;
     };
 
     std::multimap<time_point, envelope> network_;
-    std::map<std::pair<std::string, std::string>, line_state> lines_;
-    std::set<std::string> cut_;
+    std::map<std::pair<std::string, std::string>, link_state> links_;
+    std::set<std::string> partitioned_;
     // What stands at each committed index; the first host to apply decides.
     std::map<log_index, std::string> committed_;
     // Committed items in order, for what a snapshot must hold.
-    std::vector<std::string> order_;
+    std::vector<std::string> committed_items_;
     std::map<log_term, replica_id> leaders_;
     // The latest membership that anyone has applied, and its index.
     messages::replica_set members_;
@@ -262,7 +262,7 @@
     std::vector<messages::replica_set> pending_members_;
     // Proposed here: index -> (term, item), per proposer.
     std::map<std::string, std::map<log_index, std::pair<log_term, std::string>>>
-        waiting_;
+        pending_proposals_;
     std::set<std::string> acknowledged_;
     // When something was acknowledged, and how many committed items there were
     // up to it; rising in both.
--- a/nutmegusher/ctl/change_commands.cpp
+++ b/nutmegusher/ctl/change_commands.cpp
@@ -52,8 +52,8 @@
 {
     const auto percent = context.options["completion"].as<double>();
     const auto ppm = std::round(percent * ppm_per_percent);
-    const bool possible = ppm >= 0 && ppm <= whole_ppm;
-    return possible ? static_cast<std::uint32_t>(ppm) : whole_ppm + 1;
+    const bool possible = ppm >= 0 && ppm <= max_completion_ppm;
+    return possible ? static_cast<std::uint32_t>(ppm) : max_completion_ppm + 1;
 }
 
 void read_target(const command_context& context, messages::class_target& out)
--- a/nutmegusher/node/configuration_age_test.cpp
+++ b/nutmegusher/node/configuration_age_test.cpp
@@ -291,7 +291,7 @@
         {
             daemons_.emplace_back(number, net_, seed * 100 + number);
         }
-        hosts_.line = control_test::network_line{usual_line};
+        hosts_.link = control_test::network_link{usual_line};
     }
 
     // Empty where all held.
@@ -394,8 +394,8 @@
     // That host falls behind for good, and hears of its leader all the while.
     void slow_down(std::size_t number)
     {
-        hosts_.line->only_to = hosts_.hosts[number].name();
-        hosts_.line->bytes_per_second = slow_line;
+        hosts_.link->only_to_host = hosts_.hosts[number].name();
+        hosts_.link->bytes_per_second = slow_line;
     }
 
     void cut(std::size_t which, std::size_t number)
--- a/nutmegusher/node/control_group.hpp
+++ b/nutmegusher/node/control_group.hpp
@@ -119,7 +119,7 @@
         const auto failed = leaf::try_handle_all(
             [&]() -> leaf::result<std::optional<storage_failure>>
             {
-                BOOST_LEAF_CHECK(group_->turn(*this, now));
+                BOOST_LEAF_CHECK(group_->process_ready(*this, now));
                 return std::optional<storage_failure>();
             },
             [](const storage_failure& failure)
--- a/nutmegusher/node/control_growth.cpp
+++ b/nutmegusher/node/control_growth.cpp
@@ -264,7 +264,7 @@
     }
     voter_goal goal;
     goal.voters = settings_.voters;
-    auto next = membership_towards(goal, view, asking);
+    auto next = next_membership(goal, view, asking);
     if (!next)
     {
         return;
--- a/nutmegusher/node/control_leaders.cpp
+++ b/nutmegusher/node/control_leaders.cpp
@@ -49,7 +49,7 @@
     for (const auto& member : sorted_voters(core))
     {
         const replica_id id(member.identity());
-        if (id != core.id() && can_succeed(core, id, now))
+        if (id != core.id() && can_take_leadership(core, id, now))
         {
             return id;
         }
@@ -83,7 +83,7 @@
         }
         const auto place = (group->number() - 1) % voters.size();
         const replica_id preferred(voters[place].identity());
-        if (preferred != core.id() && can_succeed(core, preferred, now))
+        if (preferred != core.id() && can_take_leadership(core, preferred, now))
         {
             transfer(core, preferred, now);
             schedule_turn();
--- a/nutmegusher/node/control_loop.hpp
+++ b/nutmegusher/node/control_loop.hpp
@@ -261,8 +261,8 @@
     // this host leads.
     struct lag_watches
     {
-        lag_watch own;
-        std::map<replica_id, lag_watch> members;
+        lag_monitor own;
+        std::map<replica_id, lag_monitor> members;
     };
     std::map<std::uint32_t, lag_watches> lags_;
     time_point next_spread_{};
--- a/nutmegusher/node/control_members.cpp
+++ b/nutmegusher/node/control_members.cpp
@@ -226,7 +226,7 @@
     {
         return group_storage<file_disk>(disk_, group).create();
     }
-    return any_group::found(disk_, group, founding);
+    return any_group::bootstrap(disk_, group, founding);
 }
 
 asio::awaitable<replace_outcome>
--- a/nutmegusher/node/control_requests.cpp
+++ b/nutmegusher/node/control_requests.cpp
@@ -129,7 +129,7 @@
 {
     const auto* const group =
         configuration_ ? configuration_->running() : nullptr;
-    if (group == nullptr || !group->machine().is_remembered(change))
+    if (group == nullptr || !group->machine().has_result_for(change))
     {
         return std::nullopt;
     }
--- a/nutmegusher/node/sync_client.cpp
+++ b/nutmegusher/node/sync_client.cpp
@@ -251,7 +251,7 @@
     }
     using std::chrono::milliseconds;
     const auto age = std::chrono::duration_cast<milliseconds>(now - current_at);
-    const bool lasts = report->state == lag_state::lasts;
+    const bool lasts = report->state == lag_state::ongoing;
     log_event(
         lasts ? event::configuration_may_be_old : event::configuration_current,
         {{"age_ms", std::int64_t{age.count()}},
--- a/nutmegusher/node/sync_client.hpp
+++ b/nutmegusher/node/sync_client.hpp
@@ -87,7 +87,7 @@
     upstream_view view_;
     sync_schedule schedule_;
     hedge_schedule opinions_;
-    lag_watch age_watch_;
+    lag_monitor age_watch_;
     asio::steady_timer wake_;
     asio::steady_timer age_timer_;
     std::unique_ptr<wire::client_stream> poll_;
