--- a/nutmegusher/control/test_cluster.hpp
+++ b/nutmegusher/control/test_cluster.hpp
@@ -123,9 +123,9 @@
     duration longest_delay = std::chrono::milliseconds(1);
 };
 
-// The line from one host to another, as `control_peers` uses it: what leaves
-// in one moment travels as batches, and a batch that takes too long is lost
-// whole.
+// The line from one host to another, as `control_transport` uses it: what
+// leaves in one moment travels as batches, and a batch that takes too long is
+// lost whole.
 struct network_line
 {
     double bytes_per_second = 0;
--- a/nutmegusher/node/control_slot.hpp
+++ b/nutmegusher/node/async_value.hpp
@@ -1,6 +1,6 @@
 // One value that one coroutine waits for; for one thread.
-#ifndef NUTMEGUSHER_NODE_CONTROL_SLOT_HPP
-#define NUTMEGUSHER_NODE_CONTROL_SLOT_HPP
+#ifndef NUTMEGUSHER_NODE_ASYNC_VALUE_HPP
+#define NUTMEGUSHER_NODE_ASYNC_VALUE_HPP
 
 #include "nutmegusher/base/base.hpp"
 
@@ -19,10 +19,10 @@
 namespace asio = boost::asio;
 
 template <class T>
-class control_slot
+class async_value
 {
 public:
-    explicit control_slot(asio::io_context& context)
+    explicit async_value(asio::io_context& context)
         : timer_(context)
     {
     }
@@ -43,8 +43,8 @@
         if (!value_)
         {
             timer_.expires_at(deadline);
-            const auto quietly = asio::as_tuple(asio::use_awaitable);
-            co_await timer_.async_wait(quietly);
+            const auto as_tuple_awaitable = asio::as_tuple(asio::use_awaitable);
+            co_await timer_.async_wait(as_tuple_awaitable);
         }
         co_return std::move(value_);
     }
--- a/nutmegusher/node/control_machines.hpp
+++ b/nutmegusher/node/claim_state_machine.hpp
@@ -1,6 +1,6 @@
 // The state machines of the control hosts' logs, as `control` wants them.
-#ifndef NUTMEGUSHER_NODE_CONTROL_MACHINES_HPP
-#define NUTMEGUSHER_NODE_CONTROL_MACHINES_HPP
+#ifndef NUTMEGUSHER_NODE_CLAIM_STATE_MACHINE_HPP
+#define NUTMEGUSHER_NODE_CLAIM_STATE_MACHINE_HPP
 
 #include "nutmegusher/control/control.hpp"
 #include "nutmegusher/execution/execution.hpp"
@@ -13,12 +13,12 @@
 {
 
 // A claim table as a `state_machine`.
-class claim_machine
+class claim_state_machine
 {
 public:
     using result_type = messages::claim_result;
 
-    claim_machine() = default;
+    claim_state_machine() = default;
 
     // Requires: the entry holds a claim command.
     messages::claim_result apply(const messages::log_entry& entry)
@@ -31,11 +31,11 @@
         return table_.snapshot();
     }
 
-    [[nodiscard]] static leaf::result<claim_machine>
+    [[nodiscard]] static leaf::result<claim_state_machine>
     restore(std::string_view bytes)
     {
         BOOST_LEAF_AUTO(table, claim_table::restore(bytes));
-        return claim_machine(std::move(table));
+        return claim_state_machine(std::move(table));
     }
 
     [[nodiscard]] const claim_table& table() const
@@ -44,7 +44,7 @@
     }
 
 private:
-    explicit claim_machine(claim_table table)
+    explicit claim_state_machine(claim_table table)
         : table_(std::move(table))
     {
     }
@@ -52,7 +52,7 @@
     claim_table table_;
 };
 
-static_assert(state_machine<claim_machine>);
+static_assert(state_machine<claim_state_machine>);
 static_assert(state_machine<configuration_store>);
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/configuration_age_test.cpp
+++ b/nutmegusher/node/configuration_age_test.cpp
@@ -32,18 +32,18 @@
 constexpr std::size_t daemon_count = 6;
 // The users' bound on a change, and how long nothing must have been broken.
 constexpr seconds in_force_within{2};
-constexpr seconds calm_after{3};
+constexpr seconds stable_after{3};
 constexpr milliseconds poll_wait{1000};
-constexpr milliseconds answer_limit{1500};
-constexpr milliseconds oldest_taken{1200};
-constexpr std::size_t most_others_at_once = 2;
+constexpr milliseconds answer_timeout{1500};
+constexpr milliseconds max_accepted_age{1200};
+constexpr std::size_t max_hedges_in_flight = 2;
 constexpr std::size_t document_bytes = 100'000;
 constexpr milliseconds document_interval{300};
-constexpr double usual_line = 5'000'000;
-constexpr double slow_line = 100'000;
+constexpr double normal_bandwidth = 5'000'000;
+constexpr double slow_bandwidth = 100'000;
 
 // One question of a daemon to a control host.
-struct question
+struct sync_attempt
 {
     std::size_t at = 0;
     bool is_poll = true;
@@ -59,7 +59,7 @@
     // By daemon and host.
     std::array<std::array<bool, host_count>, daemon_count> cut{};
     // The next answer to each daemon is lost.
-    std::array<bool, daemon_count> loses_answer{};
+    std::array<bool, daemon_count> loses_next_answer{};
 };
 
 class daemon_model
@@ -83,7 +83,7 @@
     {
         answer(now);
         poll(now);
-        ask_other(now);
+        send_hedge(now);
     }
 
     [[nodiscard]] std::size_t items() const
@@ -93,21 +93,21 @@
 
     [[nodiscard]] time_point current_at() const
     {
-        return opinions_.current_at();
+        return hedges_.current_at();
     }
 
     // What it waits for, for a failure's message.
     [[nodiscard]] std::string describe(time_point now) const
     {
         std::string text = "; knows " + to_text(now - current_at()) + " ago";
-        for (const auto& each : open_)
+        for (const auto& each : pending_)
         {
             text += each.is_poll ? "; polls " : "; asks ";
             text += std::to_string(each.at) + ", gives up in " +
                     to_text(each.given_up_at - now) +
                     (each.is_lost ? ", lost" : "");
         }
-        return text + "; asks others in " + to_text(opinions_.due() - now);
+        return text + "; asks others in " + to_text(hedges_.due() - now);
     }
 
     static std::string to_text(duration length)
@@ -119,7 +119,7 @@
     // What was asked of this host is lost with it.
     void lose(std::size_t at)
     {
-        for (auto& each : open_)
+        for (auto& each : pending_)
         {
             each.is_lost = each.is_lost || each.at == at;
         }
@@ -145,9 +145,9 @@
     [[nodiscard]] bool has_poll() const
     {
         return std::any_of(
-            open_.begin(),
-            open_.end(),
-            [](const question& each)
+            pending_.begin(),
+            pending_.end(),
+            [](const sync_attempt& each)
             {
                 return each.is_poll;
             });
@@ -158,20 +158,20 @@
         const auto plan = schedule_.plan(now);
         if (!has_poll() && plan.at <= now)
         {
-            opinions_.request_sent(now);
+            hedges_.request_sent(now);
             schedule_.request_sent(now);
             send(*plan.target, true, now);
         }
     }
 
-    void ask_other(time_point now)
+    void send_hedge(time_point now)
     {
-        if (opinions_.due() > now)
+        if (hedges_.due() > now)
         {
             return;
         }
-        opinions_.hedge_sent(now, random_);
-        if (open_.size() - (has_poll() ? 1 : 0) < most_others_at_once)
+        hedges_.hedge_sent(now, random_);
+        if (pending_.size() - (has_poll() ? 1 : 0) < max_hedges_in_flight)
         {
             send(*schedule_.pick_alternate(now), false, now);
         }
@@ -179,92 +179,95 @@
 
     void send(const control_host& to, bool is_poll, time_point now)
     {
-        question asked;
-        asked.at = static_cast<std::size_t>(std::stoul(to.host.str()));
-        asked.is_poll = is_poll;
+        sync_attempt attempt;
+        attempt.at = static_cast<std::size_t>(std::stoul(to.host.str()));
+        attempt.is_poll = is_poll;
         const bool waits = is_poll && items_ > 0;
-        asked.until = waits ? now + poll_wait : now;
-        asked.given_up_at = asked.until + answer_limit;
-        asked.is_lost = !net_.hosts->hosts[asked.at].up();
-        open_.push_back(asked);
+        attempt.until = waits ? now + poll_wait : now;
+        attempt.given_up_at = attempt.until + answer_timeout;
+        attempt.is_lost = !net_.hosts->hosts[attempt.at].up();
+        pending_.push_back(attempt);
     }
 
     void answer(time_point now)
     {
-        const auto waiting = std::exchange(open_, {});
-        for (const auto& asked : waiting)
+        const auto waiting = std::exchange(pending_, {});
+        for (const auto& attempt : waiting)
         {
-            auto got = reply_to(asked, now);
-            if (got && std::exchange(net_.loses_answer[number_], false))
+            auto got = reply_to(attempt, now);
+            if (got && std::exchange(net_.loses_next_answer[number_], false))
             {
                 got.reset();
-                open_.push_back(asked);
-                open_.back().is_lost = true;
+                pending_.push_back(attempt);
+                pending_.back().is_lost = true;
                 continue;
             }
-            if (got || now >= asked.given_up_at)
+            if (got || now >= attempt.given_up_at)
             {
-                take(asked, got, now);
+                apply_reply(attempt, got, now);
             }
             else
             {
-                open_.push_back(asked);
+                pending_.push_back(attempt);
             }
         }
-        if (std::exchange(moved_, false))
+        if (std::exchange(switched_, false))
         {
             std::erase_if(
-                open_,
-                [](const question& each)
+                pending_,
+                [](const sync_attempt& each)
                 {
                     return each.is_poll;
                 });
         }
     }
 
-    std::optional<reply> reply_to(const question& asked, time_point now) const
+    std::optional<reply>
+    reply_to(const sync_attempt& attempt, time_point now) const
     {
-        auto& at = net_.hosts->hosts[asked.at];
-        const bool is_mute = asked.is_lost || !at.up() || at.frozen ||
-                             net_.cut[number_][asked.at];
-        if (is_mute)
+        auto& at = net_.hosts->hosts[attempt.at];
+        const bool is_silent = attempt.is_lost || !at.up() || at.frozen ||
+                               net_.cut[number_][attempt.at];
+        if (is_silent)
         {
             return std::nullopt;
         }
         const auto known = at.running().core().known_current_at();
         const auto held = at.running().machine().items().size();
-        const bool is_old = now - known > oldest_held;
-        if (held <= items_ && !is_old && now < asked.until)
+        const bool is_stale = now - known > max_hold_age;
+        if (held <= items_ && !is_stale && now < attempt.until)
         {
             return std::nullopt;
         }
         return reply{held, known};
     }
 
-    void
-    take(const question& asked, const std::optional<reply>& got, time_point now)
+    void apply_reply(
+        const sync_attempt& attempt,
+        const std::optional<reply>& got,
+        time_point now)
     {
-        const bool is_needed = opinions_.is_stale(now);
+        const bool was_stale = hedges_.is_stale(now);
         bool is_current = false;
         if (got)
         {
             items_ = std::max(items_, got->items);
-            opinions_.advance_current_at(got->current_at);
-            is_current = now - got->current_at <= oldest_taken;
+            hedges_.advance_current_at(got->current_at);
+            is_current = now - got->current_at <= max_accepted_age;
         }
-        if (asked.is_poll)
+        if (attempt.is_poll)
         {
             is_current ? schedule_.succeeded(now, random_)
                        : schedule_.failed(now, random_);
         }
         else if (!is_current)
         {
-            schedule_.alternate_failed(name_of(asked.at), now, random_);
+            schedule_.alternate_failed(name_of(attempt.at), now, random_);
         }
-        else if (is_needed)
+        else if (was_stale)
         {
-            moved_ = true;
-            schedule_.switch_to(name_of(asked.at), now, random_);
+            switched_ = true;
+            schedule_.switch_to(name_of(attempt.at), now, random_);
         }
     }
 
@@ -272,46 +275,46 @@
     network& net_;
     random_engine random_;
     sync_schedule schedule_;
-    hedge_schedule opinions_;
-    std::vector<question> open_;
-    bool moved_ = false;
+    hedge_schedule hedges_;
+    std::vector<sync_attempt> pending_;
+    bool switched_ = false;
     std::size_t items_ = 0;
 };
 
-class series
+class fault_simulation
 {
 public:
-    explicit series(std::uint64_t seed)
+    explicit fault_simulation(std::uint64_t seed)
         : hosts_(host_count, seed)
         , random_(seed)
         , net_{&hosts_}
-        , last_trouble_(hosts_.now)
+        , last_fault_(hosts_.now)
     {
         for (std::size_t number = 0; number < daemon_count; ++number)
         {
             daemons_.emplace_back(number, net_, seed * 100 + number);
         }
-        hosts_.line = control_test::network_line{usual_line};
+        hosts_.line = control_test::network_line{normal_bandwidth};
     }
 
     // Empty where all held.
-    std::string play(seconds length)
+    std::string run(seconds length)
     {
         const auto end = hosts_.now + length;
-        while (hosts_.now < end && wrong_.empty())
+        while (hosts_.now < end && failure_.empty())
         {
             hosts_.run(cluster::step_length);
             propose();
             repair();
-            mend();
-            make_trouble();
+            run_recoveries();
+            inject_fault();
             for (auto& each : daemons_)
             {
                 each.step(hosts_.now);
             }
             check();
         }
-        return wrong_.empty() ? hosts_.violation() : wrong_;
+        return failure_.empty() ? hosts_.violation() : failure_;
     }
 
 private:
@@ -347,14 +350,14 @@
         }
     }
 
-    std::size_t any(std::size_t below)
+    std::size_t random_below(std::size_t below)
     {
         return static_cast<std::size_t>(uniform_below(random_, below));
     }
 
-    void mend()
+    void run_recoveries()
     {
-        for (auto at = mends_.begin(); at != mends_.end();)
+        for (auto at = recoveries_.begin(); at != recoveries_.end();)
         {
             if (hosts_.now < at->first)
             {
@@ -362,31 +365,31 @@
                 continue;
             }
             at->second();
-            at = mends_.erase(at);
-            last_trouble_ = hosts_.now;
+            at = recoveries_.erase(at);
+            last_fault_ = hosts_.now;
         }
     }
 
-    void make_trouble()
+    void inject_fault()
     {
-        if (hosts_.now < next_trouble_)
+        if (hosts_.now < next_fault_)
         {
             return;
         }
-        next_trouble_ = hosts_.now + milliseconds(500 + any(7000));
-        switch (any(5))
+        next_fault_ = hosts_.now + milliseconds(500 + random_below(7000));
+        switch (random_below(5))
         {
         case 0:
-            net_.loses_answer[any(daemon_count)] = true;
+            net_.loses_next_answer[random_below(daemon_count)] = true;
             return;
         case 1:
-            slow_down(any(host_count));
+            slow_down(random_below(host_count));
             return;
         case 2:
-            cut(any(daemon_count), any(host_count));
+            cut(random_below(daemon_count), random_below(host_count));
             return;
         default:
-            break_host(any(host_count));
+            break_host(random_below(host_count));
             return;
         }
     }
@@ -395,58 +398,59 @@
     void slow_down(std::size_t number)
     {
         hosts_.line->only_to = hosts_.hosts[number].name();
-        hosts_.line->bytes_per_second = slow_line;
+        hosts_.line->bytes_per_second = slow_bandwidth;
     }
 
     void cut(std::size_t which, std::size_t number)
     {
-        last_trouble_ = hosts_.now;
+        last_fault_ = hosts_.now;
         net_.cut[which][number] = true;
-        mends_.emplace_back(
-            mended_at(),
+        recoveries_.emplace_back(
+            recovery_time(),
             [this, which, number]
             {
                 net_.cut[which][number] = false;
             });
     }
 
-    time_point mended_at()
+    time_point recovery_time()
     {
-        return hosts_.now + milliseconds(200 + any(3000));
+        return hosts_.now + milliseconds(200 + random_below(3000));
     }
 
     // Frozen, killed, or killed with its disk; two at most at a time.
     void break_host(std::size_t number)
     {
         auto& broken = hosts_.hosts[number];
-        const bool is_enough = broken_ >= 2 || hosts_.lost_voters() >= 2 ||
-                               !broken.up() || broken.frozen;
+        const bool is_enough = broken_count_ >= 2 ||
+                               hosts_.lost_voters() >= 2 || !broken.up() ||
+                               broken.frozen;
         if (is_enough)
         {
             return;
         }
-        last_trouble_ = hosts_.now;
-        ++broken_;
-        const auto how = any(3);
-        if (how == 0)
+        last_fault_ = hosts_.now;
+        ++broken_count_;
+        const auto fault_kind = random_below(3);
+        if (fault_kind == 0)
         {
             broken.frozen = true;
         }
         else
         {
-            how == 1 ? broken.crash() : broken.replace_disk();
+            fault_kind == 1 ? broken.crash() : broken.replace_disk();
             for (auto& each : daemons_)
             {
                 each.lose(number);
             }
         }
-        mends_.emplace_back(
-            mended_at(),
+        recoveries_.emplace_back(
+            recovery_time(),
             [this, &broken]
             {
                 broken.frozen = false;
                 EXPECT_TRUE(broken.up() || broken.start());
-                --broken_;
+                --broken_count_;
             });
     }
 
@@ -483,7 +487,7 @@
 
     void check()
     {
-        const bool is_calm = hosts_.now - last_trouble_ > calm_after;
+        const bool is_stable = hosts_.now - last_fault_ > stable_after;
         const auto due = acknowledged_before(hosts_.now - in_force_within);
         for (std::size_t number = 0; number < daemons_.size(); ++number)
         {
@@ -491,13 +495,13 @@
             const auto who = "daemon " + std::to_string(number);
             if (each.items() < acknowledged_before(each.current_at()))
             {
-                wrong_ = who + " claims to be current and lacks an item";
+                failure_ = who + " claims to be current and lacks an item";
             }
-            else if (is_calm && each.items() < due)
+            else if (is_stable && each.items() < due)
             {
-                wrong_ = who + " runs " + std::to_string(each.items()) +
-                         " where " + std::to_string(due) + " are due" +
-                         each.describe(hosts_.now) + describe_hosts();
+                failure_ = who + " runs " + std::to_string(each.items()) +
+                           " where " + std::to_string(due) + " are due" +
+                           each.describe(hosts_.now) + describe_hosts();
             }
         }
     }
@@ -506,21 +510,22 @@
     random_engine random_;
     network net_;
     std::deque<daemon_model> daemons_;
-    std::vector<std::pair<time_point, std::function<void()>>> mends_;
+    std::vector<std::pair<time_point, std::function<void()>>> recoveries_;
     std::vector<std::pair<time_point, std::size_t>> acknowledged_;
     std::size_t documents_ = 0;
-    std::size_t broken_ = 0;
+    std::size_t broken_count_ = 0;
     time_point next_document_;
     time_point next_repair_;
-    time_point next_trouble_;
-    time_point last_trouble_;
-    std::string wrong_;
+    time_point next_fault_;
+    time_point last_fault_;
+    std::string failure_;
 };
 
-std::uint64_t setting(const char* name, std::uint64_t otherwise)
+std::uint64_t
+number_from_environment(const char* name, std::uint64_t default_value)
 {
     const char* const text = std::getenv(name);
-    return text == nullptr ? otherwise : std::stoull(text);
+    return text == nullptr ? default_value : std::stoull(text);
 }
 
 // A daemon whose host went silent while it was time to go back to another one:
@@ -530,17 +535,19 @@
 {
     for (const std::uint64_t seed : {1038, 1172})
     {
-        EXPECT_EQ(series(seed).play(seconds(60)), "") << "seed " << seed;
+        EXPECT_EQ(fault_simulation(seed).run(seconds(60)), "")
+            << "seed " << seed;
     }
 }
 
 TEST(configuration_age, a_change_is_in_force_in_time_through_all_losses)
 {
-    const auto first = setting("NUTMEGUSHER_SEED", 1);
-    const auto count = setting("NUTMEGUSHER_SERIES", 20);
+    const auto first = number_from_environment("NUTMEGUSHER_SEED", 1);
+    const auto count = number_from_environment("NUTMEGUSHER_SERIES", 20);
     for (auto seed = first; seed < first + count; ++seed)
     {
-        EXPECT_EQ(series(seed).play(seconds(60)), "") << "seed " << seed;
+        EXPECT_EQ(fault_simulation(seed).run(seconds(60)), "")
+            << "seed " << seed;
     }
 }
 
--- a/nutmegusher/node/control_feed.cpp
+++ b/nutmegusher/node/configuration_cache.cpp
@@ -1,11 +1,11 @@
-#include "nutmegusher/node/control_feed.hpp"
+#include "nutmegusher/node/configuration_cache.hpp"
 
 #include <algorithm>
 
 namespace nutmegusher::node::internal
 {
 
-void control_feed::accept(const messages::accepted_change& accepted)
+void configuration_cache::accept(const messages::accepted_change& accepted)
 {
     messages::configuration_delta delta;
     *delta.add_changes() = without_routes(accepted);
@@ -26,7 +26,7 @@
     }
 }
 
-void control_feed::restore(const configuration_store& store)
+void configuration_cache::restore(const configuration_store& store)
 {
     auto present = store.present();
     auto history = store.history();
@@ -38,19 +38,19 @@
     }
 }
 
-revision control_feed::at() const
+revision configuration_cache::at() const
 {
     const std::scoped_lock lock(mutex_);
     return revision(present_.revision());
 }
 
-messages::configuration control_feed::present() const
+messages::configuration configuration_cache::present() const
 {
     const std::scoped_lock lock(mutex_);
     return present_;
 }
 
-messages::configuration_delta control_feed::since(revision from) const
+messages::configuration_delta configuration_cache::since(revision from) const
 {
     messages::configuration_delta delta;
     const std::scoped_lock lock(mutex_);
@@ -77,7 +77,7 @@
 }
 
 std::vector<messages::accepted_change>
-control_feed::history(std::size_t limit) const
+configuration_cache::history(std::size_t limit) const
 {
     const std::scoped_lock lock(mutex_);
     const auto count = std::min(limit, history_.size());
--- a/nutmegusher/node/control_feed.hpp
+++ b/nutmegusher/node/configuration_cache.hpp
@@ -1,6 +1,6 @@
 // The configuration as this host has applied it, for every thread.
-#ifndef NUTMEGUSHER_NODE_CONTROL_FEED_HPP
-#define NUTMEGUSHER_NODE_CONTROL_FEED_HPP
+#ifndef NUTMEGUSHER_NODE_CONFIGURATION_CACHE_HPP
+#define NUTMEGUSHER_NODE_CONFIGURATION_CACHE_HPP
 
 #include "nutmegusher/control/control.hpp"
 
@@ -13,7 +13,7 @@
 
 // A copy beside the state machine, so that readers never wait for a sync of
 // the disk. Only ever moves to a higher revision.
-class control_feed
+class configuration_cache
 {
 public:
     void accept(const messages::accepted_change& accepted);
--- a/nutmegusher/node/configuration_controller.cpp
+++ b/nutmegusher/node/configuration_controller.cpp
@@ -27,7 +27,7 @@
 }
 
 // The path below the service: "/pay" of "/disbursement/pay?x=1".
-std::string_view below_service(std::string_view path)
+std::string_view path_below_service(std::string_view path)
 {
     const auto slash = path.find('/', 1);
     const auto below =
@@ -38,7 +38,7 @@
 } // namespace
 
 configuration_view::configuration_view(const messages::configuration& from)
-    : at_(from.revision())
+    : revision_(from.revision())
     , message_(from)
     , routes_(route_table::create(from.routes()))
 {
@@ -57,9 +57,9 @@
     {
         return nullptr;
     }
-    const auto below = below_service(path);
+    const auto below = path_below_service(path);
     const class_entry* best = nullptr;
-    const auto better = [&best](const class_entry& item)
+    const auto is_better = [&best](const class_entry& item)
     {
         if (best == nullptr ||
             item.path_prefix.size() != best->path_prefix.size())
@@ -72,9 +72,9 @@
     for (const auto index : found->second)
     {
         const auto& item = classes_[index];
-        const bool fits = (item.method.empty() || item.method == method) &&
-                          below.starts_with(item.path_prefix);
-        if (fits && better(item))
+        const bool matches = (item.method.empty() || item.method == method) &&
+                             below.starts_with(item.path_prefix);
+        if (matches && is_better(item))
         {
             best = &item;
         }
--- a/nutmegusher/node/configuration_controller.hpp
+++ b/nutmegusher/node/configuration_controller.hpp
@@ -48,7 +48,7 @@
 
     [[nodiscard]] revision at() const
     {
-        return at_;
+        return revision_;
     }
 
     // The class of a request; nullptr where none matches. `path` starts with
@@ -73,7 +73,7 @@
     }
 
 private:
-    revision at_;
+    revision revision_;
     messages::configuration message_;
     route_table routes_;
     std::vector<class_entry> classes_;
--- a/nutmegusher/node/control_events.cpp
+++ b/nutmegusher/node/control_events.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-std::uint64_t wide(std::uint32_t value)
+std::uint64_t widen(std::uint32_t value)
 {
     return value;
 }
@@ -14,19 +14,22 @@
 } // namespace
 
 void log_leadership(
-    std::uint32_t group, const leadership& present, bool leads, bool led)
+    std::uint32_t group,
+    const leadership& current,
+    bool is_leader,
+    bool was_leader)
 {
-    if (leads && !led)
+    if (is_leader && !was_leader)
     {
         log_event(
             event::control_leader_elected,
-            {{"group", wide(group)}, {"term", present.term}});
+            {{"group", widen(group)}, {"term", current.term}});
     }
-    else if (led && !leads)
+    else if (was_leader && !is_leader)
     {
         log_event(
             event::control_stepped_down,
-            {{"group", wide(group)}, {"term", present.term}});
+            {{"group", widen(group)}, {"term", current.term}});
     }
 }
 
@@ -34,7 +37,7 @@
 {
     log_event(
         event::control_membership_changed,
-        {{"group", wide(group)}, {"members", std::int64_t{members}}});
+        {{"group", widen(group)}, {"members", std::int64_t{members}}});
 }
 
 void log_storage_failed(std::uint32_t group, const storage_failure& failure)
@@ -42,7 +45,7 @@
     const auto fault = static_cast<std::uint64_t>(failure.fault);
     log_event(
         event::control_storage_failed,
-        {{"group", wide(group)},
+        {{"group", widen(group)},
          {"fault", fault},
          {"file", std::string_view(failure.file)},
          {"offset", failure.offset},
--- a/nutmegusher/node/control_events.hpp
+++ b/nutmegusher/node/control_events.hpp
@@ -9,9 +9,12 @@
 namespace nutmegusher::node::internal
 {
 
-// `leads`: this host, from now on; `led`: this host, until now.
+// `is_leader`: this host, from now on; `was_leader`: this host, until now.
 void log_leadership(
-    std::uint32_t group, const leadership& present, bool leads, bool led);
+    std::uint32_t group,
+    const leadership& current,
+    bool is_leader,
+    bool was_leader);
 void log_members_changed(std::uint32_t group, int members);
 void log_storage_failed(std::uint32_t group, const storage_failure& failure);
 void log_change(
--- a/nutmegusher/node/control_group.hpp
+++ b/nutmegusher/node/control_group.hpp
@@ -3,8 +3,8 @@
 #define NUTMEGUSHER_NODE_CONTROL_GROUP_HPP
 
 #include "nutmegusher/control/control.hpp"
+#include "nutmegusher/node/async_value.hpp"
 #include "nutmegusher/node/control_events.hpp"
-#include "nutmegusher/node/control_slot.hpp"
 
 #include <cstdint>
 #include <functional>
@@ -190,12 +190,12 @@
         {
             co_return true;
         }
-        auto slot = std::make_shared<control_slot<bool>>(*settings_.context);
-        const auto waiting = appliers_.emplace(index, slot);
+        auto slot = std::make_shared<async_value<bool>>(*settings_.context);
+        const auto waiting = apply_waiters_.emplace(index, slot);
         const auto reached = co_await slot->wait(deadline);
         if (!reached)
         {
-            appliers_.erase(waiting);
+            apply_waiters_.erase(waiting);
         }
         co_return reached.has_value();
     }
@@ -241,26 +241,26 @@
         }
     }
 
-    void leadership_changed(leadership present)
+    void leadership_changed(leadership current)
     {
-        const bool leads = present.leader == settings_.replica.self;
-        log_leadership(number(), present, leads, led_);
-        if (led_ && !leads)
+        const bool is_leader = current.leader == settings_.replica.self;
+        log_leadership(number(), current, is_leader, was_leader_);
+        if (was_leader_ && !is_leader)
         {
             // They may still be committed: nothing is known.
-            forget_proposals();
+            fail_proposals();
         }
-        led_ = leads;
+        was_leader_ = is_leader;
     }
 
     // Wakes who waits for what was applied in a turn.
-    void wake_appliers()
+    void wake_apply_waiters()
     {
-        while (group_ && !appliers_.empty() &&
-               appliers_.begin()->first <= group_->applied())
+        while (group_ && !apply_waiters_.empty() &&
+               apply_waiters_.begin()->first <= group_->applied())
         {
-            appliers_.begin()->second->set(true);
-            appliers_.erase(appliers_.begin());
+            apply_waiters_.begin()->second->set(true);
+            apply_waiters_.erase(apply_waiters_.begin());
         }
         // Entries without a result: they lost against a new leader's.
         while (group_ && !proposals_.empty() &&
@@ -271,8 +271,8 @@
     }
 
 private:
-    using proposal_slot = control_slot<std::optional<result_type>>;
-    using read_slot = control_slot<std::optional<log_index>>;
+    using proposal_slot = async_value<std::optional<result_type>>;
+    using read_slot = async_value<std::optional<log_index>>;
 
     struct pending_proposal
     {
@@ -331,7 +331,7 @@
         proposals_.erase(waiting);
     }
 
-    void forget_proposals()
+    void fail_proposals()
     {
         for (auto& [index, waiting] : proposals_)
         {
@@ -345,8 +345,8 @@
     {
         log_storage_failed(number(), failure);
         group_.reset();
-        led_ = false;
-        forget_proposals();
+        was_leader_ = false;
+        fail_proposals();
         for (auto& [ticket, slot] : reads_)
         {
             slot->set(std::nullopt);
@@ -384,9 +384,9 @@
     std::unique_ptr<group_type> group_;
     std::map<log_index, pending_proposal> proposals_;
     std::map<read_ticket, std::shared_ptr<read_slot>> reads_;
-    std::multimap<log_index, std::shared_ptr<control_slot<bool>>> appliers_;
+    std::multimap<log_index, std::shared_ptr<async_value<bool>>> apply_waiters_;
     std::optional<time_point> reopen_at_;
-    bool led_ = false;
+    bool was_leader_ = false;
 };
 
 } // namespace nutmegusher::node::internal
--- a/nutmegusher/node/control_lag.cpp
+++ b/nutmegusher/node/control_lag.cpp
@@ -79,7 +79,7 @@
 
 } // namespace
 
-void control_loop::watch_lags()
+void control_loop::monitor_lags()
 {
     const auto now = host_clock().now();
     for_each_group(
@@ -87,22 +87,22 @@
         {
             if (group.running() != nullptr)
             {
-                watch_lag(group.running()->core(), now);
+                monitor_group_lag(group.running()->core(), now);
             }
         });
 }
 
-void control_loop::watch_lag(const replica& core, time_point now)
+void control_loop::monitor_group_lag(const replica& core, time_point now)
 {
-    auto& watches = lags_[core.group()];
+    auto& monitors = lags_[core.group()];
     const bool behind = !core.leader() || core.leader_commit() > core.commit();
-    if (const auto report = watches.own.update(behind, now))
+    if (const auto report = monitors.own.update(behind, now))
     {
         log_own_lag(core, *report);
     }
     const auto progress = core.progress(now);
     std::erase_if(
-        watches.members,
+        monitors.members,
         [&progress](const auto& item)
         {
             return std::none_of(
@@ -116,7 +116,7 @@
     for (const auto& member : progress)
     {
         const bool lags = member.match < core.commit();
-        if (const auto report = watches.members[member.id].update(lags, now))
+        if (const auto report = monitors.members[member.id].update(lags, now))
         {
             log_member_lag(core, member, *report);
         }
--- a/nutmegusher/node/control_leaders.cpp
+++ b/nutmegusher/node/control_leaders.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr duration spread_interval = std::chrono::seconds(2);
+constexpr duration balance_interval = std::chrono::seconds(2);
 constexpr duration hand_over_pause = std::chrono::milliseconds(20);
 
 std::vector<messages::replica_member> sorted_voters(const replica& core)
@@ -61,14 +61,14 @@
 
 // Each claim group is led by another host where all are well, so that the
 // hosts share the work; and it goes back there after a failure has passed.
-void control_loop::spread_leaders()
+void control_loop::balance_leaders()
 {
     const auto now = host_clock().now();
-    if (now < next_spread_ || handing_over_)
+    if (now < next_leader_balance_ || handing_over_)
     {
         return;
     }
-    next_spread_ = now + spread_interval;
+    next_leader_balance_ = now + balance_interval;
     for (auto& group : claims_)
     {
         if (group->running() == nullptr || !leads(group->number()))
@@ -81,8 +81,8 @@
         {
             continue;
         }
-        const auto place = (group->number() - 1) % voters.size();
-        const replica_id preferred(voters[place].identity());
+        const auto preferred_index = (group->number() - 1) % voters.size();
+        const replica_id preferred(voters[preferred_index].identity());
         if (preferred != core.id() && can_succeed(core, preferred, now))
         {
             transfer(core, preferred, now);
--- a/nutmegusher/node/control_logs.cpp
+++ b/nutmegusher/node/control_logs.cpp
@@ -17,16 +17,16 @@
 {
 
 // A batch of messages; a snapshot is the largest.
-constexpr std::size_t largest_batch = 512 * 1024 * 1024;
+constexpr std::size_t max_batch_bytes = 512 * 1024 * 1024;
 // A change, a claim with its answer, a question.
-constexpr std::size_t largest_request = 4 * 1024 * 1024;
-constexpr std::size_t read_step = 16 * 1024;
+constexpr std::size_t max_request_bytes = 4 * 1024 * 1024;
+constexpr std::size_t read_chunk_bytes = 16 * 1024;
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_too_large = 413;
 
 // Runs a coroutine on the logs' thread and comes back.
 template <class T>
-asio::awaitable<T> on_loop(control_loop& loop, asio::awaitable<T> action)
+asio::awaitable<T> run_on_loop(control_loop& loop, asio::awaitable<T> action)
 {
     co_return co_await asio::co_spawn(
         loop.context(), std::move(action), asio::use_awaitable);
@@ -36,10 +36,10 @@
 read_body(wire::server_stream& stream, std::size_t limit)
 {
     std::string body;
-    std::array<std::byte, read_step> part;
+    std::array<std::byte, read_chunk_bytes> chunk;
     while (true)
     {
-        const auto count = co_await stream.read_some(part);
+        const auto count = co_await stream.read_some(chunk);
         if (!count || body.size() + *count > limit)
         {
             co_return std::nullopt;
@@ -48,12 +48,12 @@
         {
             co_return body;
         }
-        body.append(reinterpret_cast<const char*>(part.data()), *count);
+        body.append(reinterpret_cast<const char*>(chunk.data()), *count);
     }
 }
 
 asio::awaitable<void>
-write_answer(wire::server_stream& stream, unsigned status, std::string body)
+write_response(wire::server_stream& stream, unsigned status, std::string body)
 {
     wire::response_head head;
     head.status = status;
@@ -67,13 +67,13 @@
 
 // The answer to a request that has arrived whole; on the logs' thread. Nothing
 // where the body isn't what the path asks for.
-using answerer = asio::awaitable<std::optional<std::string>> (*)(
+using request_handler = asio::awaitable<std::optional<std::string>> (*)(
     std::shared_ptr<control_loop> loop, std::string body);
 
 asio::awaitable<std::optional<std::string>>
 answer_raft(std::shared_ptr<control_loop> loop, std::string body)
 {
-    co_return co_await loop->take_batch(std::move(body));
+    co_return co_await loop->handle_batch(std::move(body));
 }
 
 template <bool Forward>
@@ -166,24 +166,24 @@
 struct route
 {
     std::string_view path;
-    answerer answer;
+    request_handler answer;
     std::size_t limit;
 };
 
 // Below "/control/lead/" nothing is passed on: two hosts that each take the
 // other for the leader don't send a request to and fro.
 constexpr std::array routes{
-    route{internal::raft_path, answer_raft, largest_batch},
-    route{"/control/propose", answer_change<true>, largest_request},
-    route{"/control/claim", answer_claim<true>, largest_request},
-    route{"/control/find-claim", answer_find_claim, largest_request},
-    route{"/control/join", answer_join, largest_request},
-    route{"/control/admit", answer_admit<true>, largest_request},
-    route{"/control/lead/admit", answer_admit<false>, largest_request},
-    route{"/control/lead/propose", answer_change<false>, largest_request},
-    route{"/control/lead/claim", answer_claim<false>, largest_request},
-    route{"/control/lead/read", answer_read, largest_request},
-    route{"/control/lead/replace", answer_replace, largest_request}};
+    route{internal::raft_path, answer_raft, max_batch_bytes},
+    route{"/control/propose", answer_change<true>, max_request_bytes},
+    route{"/control/claim", answer_claim<true>, max_request_bytes},
+    route{"/control/find-claim", answer_find_claim, max_request_bytes},
+    route{"/control/join", answer_join, max_request_bytes},
+    route{"/control/admit", answer_admit<true>, max_request_bytes},
+    route{"/control/lead/admit", answer_admit<false>, max_request_bytes},
+    route{"/control/lead/propose", answer_change<false>, max_request_bytes},
+    route{"/control/lead/claim", answer_claim<false>, max_request_bytes},
+    route{"/control/lead/read", answer_read, max_request_bytes},
+    route{"/control/lead/replace", answer_replace, max_request_bytes}};
 
 const route* find_route(std::string_view path)
 {
@@ -242,47 +242,47 @@
 asio::awaitable<messages::change_result>
 control_logs::propose_change(messages::change change)
 {
-    co_return co_await on_loop(
+    co_return co_await run_on_loop(
         *loop_, loop_->propose_change(std::move(change), true));
 }
 
 asio::awaitable<messages::claim_result>
 control_logs::claim(messages::claim_command command)
 {
-    co_return co_await on_loop(
+    co_return co_await run_on_loop(
         *loop_, loop_->propose_claim(std::move(command), true));
 }
 
 asio::awaitable<messages::claim_result>
 control_logs::find_claim(messages::claim_key key)
 {
-    co_return co_await on_loop(*loop_, loop_->find_claim(std::move(key)));
+    co_return co_await run_on_loop(*loop_, loop_->find_claim(std::move(key)));
 }
 
 asio::awaitable<bool> control_logs::confirm_configuration()
 {
-    co_return co_await on_loop(*loop_, loop_->confirm_configuration());
+    co_return co_await run_on_loop(*loop_, loop_->confirm_configuration());
 }
 
 revision control_logs::at() const
 {
-    return loop_->feed().at();
+    return loop_->cache().at();
 }
 
 messages::configuration control_logs::present() const
 {
-    return loop_->feed().present();
+    return loop_->cache().present();
 }
 
 messages::configuration_delta control_logs::since(revision from) const
 {
-    return loop_->feed().since(from);
+    return loop_->cache().since(from);
 }
 
 std::vector<messages::accepted_change>
 control_logs::history(std::size_t limit) const
 {
-    return loop_->feed().history(limit);
+    return loop_->cache().history(limit);
 }
 
 void control_logs::on_revision(std::function<void(revision)> notify)
@@ -317,13 +317,13 @@
     messages::replica_member added;
     added.set_host(new_host.str());
     added.set_address(internal::to_text(address));
-    co_return co_await on_loop(
+    co_return co_await run_on_loop(
         *loop_, loop_->replace(std::move(old_host), std::move(added)));
 }
 
 asio::awaitable<void> control_logs::hand_over(duration limit)
 {
-    co_await on_loop(*loop_, loop_->hand_over(limit));
+    co_await run_on_loop(*loop_, loop_->hand_over(limit));
 }
 
 asio::awaitable<bool>
@@ -338,17 +338,17 @@
     auto body = co_await read_body(*stream, found->limit);
     if (!body)
     {
-        co_await write_answer(*stream, status_too_large, std::string());
+        co_await write_response(*stream, status_too_large, std::string());
         co_return true;
     }
     auto answer =
-        co_await on_loop(*loop, found->answer(loop, *std::move(body)));
+        co_await run_on_loop(*loop, found->answer(loop, *std::move(body)));
     if (!answer)
     {
         stream->reset();
         co_return true;
     }
-    co_await write_answer(*stream, status_ok, *std::move(answer));
+    co_await write_response(*stream, status_ok, *std::move(answer));
     co_return true;
 }
 
--- a/nutmegusher/node/control_loop.cpp
+++ b/nutmegusher/node/control_loop.cpp
@@ -18,7 +18,7 @@
 constexpr duration status_interval = std::chrono::milliseconds(100);
 
 // Members must be reachable before their membership is committed.
-bool brings_members(const messages::replica_message& message)
+bool changes_members(const messages::replica_message& message)
 {
     const auto& entries = message.append().entries();
     return message.has_install() || std::any_of(
@@ -42,7 +42,7 @@
     , engine_(
           (std::uint64_t{std::random_device{}()} << 32) ^
           std::random_device{}())
-    , peers_(
+    , transport_(
           context,
           [this](const messages::replica_batch& batch)
           {
@@ -66,11 +66,11 @@
 leaf::result<void> control_loop::open_groups()
 {
     const auto now = host_clock().now();
-    peers_.join(identity_.cluster());
+    transport_.join(identity_.cluster());
     control_group_hooks<configuration_store> hooks;
     hooks.send = [this](messages::replica_message message)
     {
-        peers_.post(std::move(message));
+        transport_.post(std::move(message));
     };
     hooks.members_changed = [this]
     {
@@ -86,13 +86,13 @@
         log_change(accepted.what(), result);
         if (result.verdict() == messages::change_accepted)
         {
-            feed_.accept(accepted);
+            cache_.accept(accepted);
             notify(revision(accepted.revision()));
         }
     };
     hooks.restored = [this](const configuration_store& store)
     {
-        feed_.restore(store);
+        cache_.restore(store);
         notify(store.revision());
     };
     configuration_ = std::make_unique<configuration_group>(
@@ -106,17 +106,17 @@
     {
         BOOST_LEAF_CHECK(group->open(now));
     }
-    learn_members();
+    update_member_addresses();
     return {};
 }
 
 std::unique_ptr<control_loop::claim_group>
 control_loop::make_claim_group(std::uint32_t number)
 {
-    control_group_hooks<claim_machine> hooks;
+    control_group_hooks<claim_state_machine> hooks;
     hooks.send = [this](messages::replica_message message)
     {
-        peers_.post(std::move(message));
+        transport_.post(std::move(message));
     };
     hooks.members_changed = [this]
     {
@@ -144,7 +144,7 @@
 void control_loop::start()
 {
     asio::co_spawn(context_, run_ticks(), asio::detached);
-    if (identity_.cluster() == 0 && founds())
+    if (identity_.cluster() == 0 && is_cluster_founder())
     {
         asio::co_spawn(context_, found_cluster(), asio::detached);
     }
@@ -163,7 +163,7 @@
 asio::awaitable<void> control_loop::run_ticks()
 {
     const auto self = shared_from_this();
-    const auto quietly = asio::as_tuple(asio::use_awaitable);
+    const auto as_tuple_awaitable = asio::as_tuple(asio::use_awaitable);
     auto next_status = host_clock().now();
     while (!stopped_)
     {
@@ -182,13 +182,13 @@
             {
                 static_cast<void>(hand_over_groups());
             }
-            spread_leaders();
-            tend_members();
-            watch_lags();
+            balance_leaders();
+            maintain_voters();
+            monitor_lags();
             publish_status();
         }
         tick_timer_.expires_after(tick_interval);
-        co_await tick_timer_.async_wait(quietly);
+        co_await tick_timer_.async_wait(as_tuple_awaitable);
     }
 }
 
@@ -215,7 +215,7 @@
         [](auto& group)
         {
             group.turn(host_clock().now());
-            group.wake_appliers();
+            group.wake_apply_waiters();
         });
     with_core(
         0,
@@ -227,19 +227,19 @@
     if (members_changed_)
     {
         members_changed_ = false;
-        learn_members();
+        update_member_addresses();
     }
-    peers_.flush();
+    transport_.flush();
 }
 
-void control_loop::learn_members()
+void control_loop::update_member_addresses()
 {
     for_each_group(
         [this](auto& group)
         {
             if (group.running() != nullptr)
             {
-                peers_.learn(group.running()->core().members());
+                transport_.update_addresses(group.running()->core().members());
             }
         });
 }
@@ -265,13 +265,13 @@
     }
     for (const auto& message : batch.messages())
     {
-        members_changed_ = members_changed_ || brings_members(message);
+        members_changed_ = members_changed_ || changes_members(message);
         step(message);
     }
     schedule_turn();
 }
 
-asio::awaitable<std::string> control_loop::take_batch(std::string body)
+asio::awaitable<std::string> control_loop::handle_batch(std::string body)
 {
     const auto self = shared_from_this();
     messages::replica_batch batch;
@@ -282,7 +282,7 @@
     }
     const replica_id from(batch.messages(0).from());
     receive(batch);
-    co_return co_await peers_.answer(from);
+    co_return co_await transport_.answer(from);
 }
 
 control_status control_loop::status() const
--- a/nutmegusher/node/control_loop.hpp
+++ b/nutmegusher/node/control_loop.hpp
@@ -4,11 +4,11 @@
 #define NUTMEGUSHER_NODE_CONTROL_LOOP_HPP
 
 #include "nutmegusher/control/control.hpp"
-#include "nutmegusher/node/control_feed.hpp"
+#include "nutmegusher/node/claim_state_machine.hpp"
+#include "nutmegusher/node/configuration_cache.hpp"
 #include "nutmegusher/node/control_group.hpp"
 #include "nutmegusher/node/control_logs.hpp"
-#include "nutmegusher/node/control_machines.hpp"
-#include "nutmegusher/node/control_peers.hpp"
+#include "nutmegusher/node/control_transport.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -39,7 +39,7 @@
 {
 public:
     using configuration_group = control_group<configuration_store>;
-    using claim_group = control_group<claim_machine>;
+    using claim_group = control_group<claim_state_machine>;
 
     control_loop(
         asio::io_context& context,
@@ -58,9 +58,9 @@
         return context_;
     }
 
-    [[nodiscard]] const control_feed& feed() const
+    [[nodiscard]] const configuration_cache& cache() const
     {
-        return feed_;
+        return cache_;
     }
 
     // Safe from every thread.
@@ -82,7 +82,7 @@
     asio::awaitable<messages::claim_result> find_claim(messages::claim_key key);
     asio::awaitable<bool> confirm_configuration();
     asio::awaitable<messages::read_reply> confirm_leader(std::uint32_t group);
-    asio::awaitable<std::string> take_batch(std::string body);
+    asio::awaitable<std::string> handle_batch(std::string body);
 
     // control_members.cpp
     messages::join_reply join(const messages::join_request& request);
@@ -110,7 +110,7 @@
     void run_turn();
     void step(const messages::replica_message& message);
     void receive(const messages::replica_batch& batch);
-    void learn_members();
+    void update_member_addresses();
     [[nodiscard]] std::unique_ptr<claim_group>
     make_claim_group(std::uint32_t number);
     [[nodiscard]] control_group_settings group_settings(std::uint32_t number);
@@ -151,7 +151,7 @@
     [[nodiscard]] bool leads_with_lease(std::uint32_t group);
     // The answer that this host has applied for the change's id.
     [[nodiscard]] std::optional<messages::change_result>
-    known_answer(const messages::change& change) const;
+    applied_result(const messages::change& change) const;
     // Nothing where no leader is known or it doesn't answer.
     asio::awaitable<std::optional<std::string>> call_leader(
         std::uint32_t group,
@@ -187,14 +187,14 @@
         asio::ip::tcp::endpoint address;
     };
 
-    [[nodiscard]] bool is_self(const founder& one) const;
+    [[nodiscard]] bool is_self(const founder& candidate) const;
     [[nodiscard]] std::vector<founder> founders() const;
     asio::awaitable<void> found_cluster();
-    asio::awaitable<std::optional<messages::replica_set>> meet_founders();
-    asio::awaitable<bool> have_all_join(const messages::replica_set& members);
+    asio::awaitable<std::optional<messages::replica_set>> query_founders();
+    asio::awaitable<bool> request_joins(const messages::replica_set& members);
     asio::awaitable<std::optional<messages::join_reply>> ask_to_join(
         asio::ip::tcp::endpoint host, const messages::join_request& request);
-    [[nodiscard]] bool establish(
+    [[nodiscard]] bool adopt_cluster(
         std::uint64_t cluster,
         std::uint32_t groups,
         const messages::replica_set& founding);
@@ -202,7 +202,7 @@
     create_files(std::uint32_t group, const messages::replica_set& founding);
 
     [[nodiscard]] bool is_seed(const asio::ip::tcp::endpoint& host) const;
-    [[nodiscard]] bool founds() const;
+    [[nodiscard]] bool is_cluster_founder() const;
 
     // control_growth.cpp
     [[nodiscard]] bool is_settled_voter();
@@ -210,19 +210,21 @@
     asio::awaitable<void> ask_for_admission();
     asio::awaitable<void> ask_all_for_admission();
     [[nodiscard]] std::vector<asio::ip::tcp::endpoint> admission_hosts() const;
-    [[nodiscard]] bool take_admission(const messages::admit_reply& reply);
-    void note_not_admitted(const std::string& answers);
-    void tend_members();
-    void tend_group(std::uint32_t number, replica& core, time_point now);
+    [[nodiscard]] bool
+    apply_admission_reply(const messages::admit_reply& reply);
+    void log_not_admitted(const std::string& answers);
+    void maintain_voters();
+    void
+    maintain_group_voters(std::uint32_t number, replica& core, time_point now);
     [[nodiscard]] std::vector<member_view>
     view_members(std::uint32_t number, const replica& core, time_point now);
 
     // control_lag.cpp
-    void watch_lags();
-    void watch_lag(const replica& core, time_point now);
+    void monitor_lags();
+    void monitor_group_lag(const replica& core, time_point now);
 
     // control_leaders.cpp
-    void spread_leaders();
+    void balance_leaders();
     [[nodiscard]] bool hand_over_groups();
 
     // control_state.cpp
@@ -234,8 +236,8 @@
     file_disk disk_;
     random_engine engine_;
     messages::host_identity identity_;
-    control_peers peers_;
-    control_feed feed_;
+    control_transport transport_;
+    configuration_cache cache_;
     std::unique_ptr<configuration_group> configuration_;
     std::vector<std::unique_ptr<claim_group>> claims_;
     asio::steady_timer tick_timer_;
@@ -244,28 +246,28 @@
     bool handing_over_ = false;
     bool stopped_ = false;
     // Hosts that asked to be voters.
-    struct admission_question
+    struct admission_candidate
     {
         messages::replica_member member;
-        time_point asked_at;
+        time_point requested_at;
     };
-    std::map<std::uint64_t, admission_question> asking_;
+    std::map<std::uint64_t, admission_candidate> candidates_;
     // While this host is no voter: members that answers told of, and since when
     // no leader has noted its question.
-    std::set<asio::ip::tcp::endpoint> told_members_;
+    std::set<asio::ip::tcp::endpoint> reported_members_;
     std::optional<time_point> not_admitted_since_;
     time_point next_admission_log_{};
     // When each other member was last heard, by group; while this host leads.
-    std::map<std::uint32_t, std::map<replica_id, time_point>> heard_;
+    std::map<std::uint32_t, std::map<replica_id, time_point>> last_active_;
     // Of one group: whether this host lacks entries, and which members do while
     // this host leads.
-    struct lag_watches
+    struct group_lag_monitors
     {
         lag_watch own;
         std::map<replica_id, lag_watch> members;
     };
-    std::map<std::uint32_t, lag_watches> lags_;
-    time_point next_spread_{};
+    std::map<std::uint32_t, group_lag_monitors> lags_;
+    time_point next_leader_balance_{};
     time_point leader_known_at_{};
     std::atomic<duration::rep> known_current_at_ = 0;
     mutable std::mutex status_mutex_;
--- a/nutmegusher/node/control_members.cpp
+++ b/nutmegusher/node/control_members.cpp
@@ -11,9 +11,9 @@
 {
 
 constexpr duration join_timeout = std::chrono::seconds(1);
-constexpr duration invitation_limit = std::chrono::seconds(5);
+constexpr duration invitation_timeout = std::chrono::seconds(5);
 constexpr duration join_pause = std::chrono::milliseconds(200);
-constexpr duration replace_limit = std::chrono::seconds(60);
+constexpr duration replace_timeout = std::chrono::seconds(60);
 constexpr duration replace_pause = std::chrono::milliseconds(50);
 
 bool succeeds(const std::function<leaf::result<void>()>& action)
@@ -45,7 +45,7 @@
 
 // The first of the hosts named in `initial`, or the seed with the lowest
 // address: all seeds agree on it, in whatever order they are named.
-bool control_loop::founds() const
+bool control_loop::is_cluster_founder() const
 {
     if (!settings_.initial.empty())
     {
@@ -58,10 +58,10 @@
 
 // By name where there is one: others may reach this host by another address
 // than the one it listens on.
-bool control_loop::is_self(const founder& one) const
+bool control_loop::is_self(const founder& candidate) const
 {
-    return one.host ? *one.host == settings_.self
-                    : one.address == settings_.address;
+    return candidate.host ? *candidate.host == settings_.self
+                          : candidate.address == settings_.address;
 }
 
 std::vector<control_loop::founder> control_loop::founders() const
@@ -92,15 +92,16 @@
     const std::uint64_t own = identity_.identity();
     while (!stopped_ && identity_.cluster() == 0)
     {
-        const auto members = co_await meet_founders();
+        const auto members = co_await query_founders();
         if (members && members->members().empty())
         {
             co_return; // a cluster exists: wait to be added to it
         }
         if (members && identity_.cluster() == 0)
         {
-            const bool joined = co_await have_all_join(*members);
-            if (joined && establish(own, settings_.claim_groups + 1, *members))
+            const bool joined = co_await request_joins(*members);
+            if (joined &&
+                adopt_cluster(own, settings_.claim_groups + 1, *members))
             {
                 co_return;
             }
@@ -112,7 +113,7 @@
 // The first members; empty where one of them belongs to another cluster, and
 // nothing while not all have answered.
 asio::awaitable<std::optional<messages::replica_set>>
-control_loop::meet_founders()
+control_loop::query_founders()
 {
     const std::uint64_t own = identity_.identity();
     messages::replica_set members;
@@ -127,8 +128,8 @@
         {
             continue;
         }
-        const messages::join_request question;
-        const auto reply = co_await ask_to_join(host.address, question);
+        const messages::join_request query;
+        const auto reply = co_await ask_to_join(host.address, query);
         if (!reply || (host.host && reply->host() != host.host->str()))
         {
             co_return std::nullopt;
@@ -144,7 +145,7 @@
 }
 
 asio::awaitable<bool>
-control_loop::have_all_join(const messages::replica_set& members)
+control_loop::request_joins(const messages::replica_set& members)
 {
     const std::uint64_t own = identity_.identity();
     messages::join_request request;
@@ -171,7 +172,7 @@
 {
     const auto body = request.SerializeAsString();
     const auto answer = co_await wire::call(
-        peers_.sessions(), host, "/control/join", body, join_timeout);
+        transport_.sessions(), host, "/control/join", body, join_timeout);
     messages::join_reply reply;
     if (!answer || !reply.ParseFromString(*answer))
     {
@@ -185,8 +186,8 @@
     if (identity_.cluster() == 0 && request.cluster() != 0 &&
         request.groups() > 0 && request.cluster() != identity_.identity())
     {
-        static_cast<void>(
-            establish(request.cluster(), request.groups(), request.founding()));
+        static_cast<void>(adopt_cluster(
+            request.cluster(), request.groups(), request.founding()));
     }
     messages::join_reply reply;
     reply.set_identity(identity_.identity());
@@ -197,7 +198,7 @@
 
 // The files first, then the identity that demands them. Durable before it is
 // answered: only this cluster's messages are taken from then on.
-bool control_loop::establish(
+bool control_loop::adopt_cluster(
     std::uint64_t cluster,
     std::uint32_t groups,
     const messages::replica_set& founding)
@@ -233,7 +234,7 @@
 control_loop::replace(host_id old_host, messages::replica_member added)
 {
     const auto self = shared_from_this();
-    const auto deadline = host_clock().now() + replace_limit;
+    const auto deadline = host_clock().now() + replace_timeout;
     const auto address = parse_endpoint(added.address());
     if (!address || identity_.cluster() == 0)
     {
@@ -243,7 +244,7 @@
     invitation.set_cluster(identity_.cluster());
     invitation.set_groups(identity_.groups());
     // A host that has just started may still be taken for unreachable.
-    const auto join_deadline = host_clock().now() + invitation_limit;
+    const auto join_deadline = host_clock().now() + invitation_timeout;
     auto joined = co_await ask_to_join(*address, invitation);
     while (!joined && !stopped_ && host_clock().now() < join_deadline)
     {
--- a/nutmegusher/node/control_requests.cpp
+++ b/nutmegusher/node/control_requests.cpp
@@ -13,12 +13,12 @@
 {
 
 // An election and a retry fit in twice; then the operator is told.
-constexpr duration change_limit = std::chrono::seconds(3);
+constexpr duration change_timeout = std::chrono::seconds(3);
 // The entry daemon tries another control host after 400 ms.
-constexpr duration claim_limit = std::chrono::seconds(1);
-constexpr duration read_limit = std::chrono::seconds(2);
+constexpr duration claim_timeout = std::chrono::seconds(1);
+constexpr duration read_timeout = std::chrono::seconds(2);
 // One try at a leader: it may have become silent.
-constexpr duration forward_limit = std::chrono::milliseconds(800);
+constexpr duration forward_timeout = std::chrono::milliseconds(800);
 // Between two tries while nobody leads.
 constexpr duration retry_pause = std::chrono::milliseconds(30);
 
@@ -36,13 +36,13 @@
     return result;
 }
 
-bool is_verdict(const std::optional<messages::change_result>& result)
+bool is_final(const std::optional<messages::change_result>& result)
 {
     return result && result->verdict() != messages::change_unavailable &&
            result->verdict() != messages::change_verdict_none;
 }
 
-bool is_verdict(const std::optional<messages::claim_result>& result)
+bool is_final(const std::optional<messages::claim_result>& result)
 {
     return result && result->verdict() != messages::claim_unavailable &&
            result->verdict() != messages::claim_verdict_none;
@@ -53,8 +53,8 @@
 asio::awaitable<void> control_loop::pause(duration length)
 {
     asio::steady_timer timer(context_, length);
-    const auto quietly = asio::as_tuple(asio::use_awaitable);
-    co_await timer.async_wait(quietly);
+    const auto as_tuple_awaitable = asio::as_tuple(asio::use_awaitable);
+    co_await timer.async_wait(as_tuple_awaitable);
 }
 
 bool control_loop::leads(std::uint32_t group)
@@ -93,7 +93,7 @@
             const auto leader = core.leader();
             if (leader && *leader != core.id())
             {
-                found = peers_.find(*leader);
+                found = transport_.find(*leader);
             }
         });
     return found;
@@ -106,14 +106,14 @@
     time_point deadline)
 {
     const auto address = leader_address(group);
-    const auto left = deadline - host_clock().now();
-    if (!address || left <= duration::zero())
+    const auto remaining = deadline - host_clock().now();
+    if (!address || remaining <= duration::zero())
     {
         co_return std::nullopt;
     }
-    const auto limit = std::min<duration>(left, forward_limit);
+    const auto limit = std::min<duration>(remaining, forward_timeout);
     auto answer =
-        co_await wire::call(peers_.sessions(), *address, path, body, limit);
+        co_await wire::call(transport_.sessions(), *address, path, body, limit);
     if (!answer)
     {
         co_return std::nullopt;
@@ -125,7 +125,7 @@
 // answer. Without this each resend of a document of 1,700 routes put half a
 // megabyte into the log once more.
 std::optional<messages::change_result>
-control_loop::known_answer(const messages::change& change) const
+control_loop::applied_result(const messages::change& change) const
 {
     const auto* const group =
         configuration_ ? configuration_->running() : nullptr;
@@ -148,11 +148,11 @@
         result.set_field(problem->field);
         co_return result;
     }
-    if (const auto known = known_answer(change))
+    if (const auto known = applied_result(change))
     {
         co_return *known;
     }
-    const auto deadline = host_clock().now() + change_limit;
+    const auto deadline = host_clock().now() + change_timeout;
     const auto body = change.SerializeAsString();
     while (!stopped_ && host_clock().now() < deadline)
     {
@@ -170,7 +170,7 @@
             result = co_await ask_leader<messages::change_result>(
                 0, "/control/lead/propose", body, deadline);
         }
-        if (is_verdict(result))
+        if (is_final(result))
         {
             co_return *result;
         }
@@ -193,7 +193,7 @@
     }
     const auto groups = static_cast<std::uint32_t>(claims_.size());
     const auto number = claim_group_of(command.key(), groups);
-    const auto deadline = host_clock().now() + claim_limit;
+    const auto deadline = host_clock().now() + claim_timeout;
     const auto body = command.SerializeAsString();
     while (!stopped_ && host_clock().now() < deadline)
     {
@@ -211,7 +211,7 @@
             result = co_await ask_leader<messages::claim_result>(
                 number, "/control/lead/claim", body, deadline);
         }
-        if (is_verdict(result))
+        if (is_final(result))
         {
             co_return *result;
         }
@@ -228,7 +228,7 @@
 control_loop::confirm_leader(std::uint32_t group)
 {
     const auto self = shared_from_this();
-    const auto deadline = host_clock().now() + forward_limit;
+    const auto deadline = host_clock().now() + forward_timeout;
     std::optional<log_index> index;
     if (leads(group) && group == 0)
     {
@@ -281,7 +281,7 @@
         // Part of no cluster yet: nobody is kept waiting for that.
         co_return false;
     }
-    const auto deadline = host_clock().now() + read_limit;
+    const auto deadline = host_clock().now() + read_timeout;
     const auto index = co_await read_index(0, deadline);
     if (!index)
     {
@@ -300,7 +300,7 @@
     }
     const auto groups = static_cast<std::uint32_t>(claims_.size());
     const auto number = claim_group_of(key, groups);
-    const auto deadline = host_clock().now() + read_limit;
+    const auto deadline = host_clock().now() + read_timeout;
     const auto index = co_await read_index(number, deadline);
     auto& group = *claims_[number - 1];
     if (!index)
--- a/nutmegusher/node/control_part.cpp
+++ b/nutmegusher/node/control_service.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/node/control_part.hpp"
+#include "nutmegusher/node/control_service.hpp"
 
 #include "nutmegusher/node/control_logs.hpp"
 #include "nutmegusher/node/crash_store.hpp"
@@ -22,7 +22,7 @@
 
 constexpr duration hand_over_limit = std::chrono::seconds(3);
 // What `history` shows at most.
-constexpr std::size_t most_history = 1000;
+constexpr std::size_t max_history = 1000;
 constexpr std::string_view sync_path = "/control/sync";
 constexpr std::string_view registry_path = "/control/registry";
 
@@ -49,14 +49,14 @@
 }
 
 // The fields of a replacement's body.
-struct replace_order
+struct replace_command
 {
     host_id old_host;
     host_id new_host;
     endpoint address;
 };
 
-leaf::result<replace_order> parse_replace(std::string_view text)
+leaf::result<replace_command> parse_replace(std::string_view text)
 {
     json::error_code failed;
     const auto value =
@@ -87,7 +87,7 @@
         return leaf::new_error(
             json_error{json_problem::out_of_range, "address"});
     }
-    return replace_order{host_id(old_host), host_id(new_host), *parsed};
+    return replace_command{host_id(old_host), host_id(new_host), *parsed};
 }
 
 unsigned status_of(replace_outcome outcome)
@@ -114,7 +114,7 @@
 // Of its own, as a `file_disk` locks its folder.
 constexpr std::string_view crash_folder = "crashes";
 
-void keep(file_disk& disk, const std::vector<crash_record>& records)
+void persist(file_disk& disk, const std::vector<crash_record>& records)
 {
     leaf::try_handle_all(
         [&]
@@ -130,11 +130,11 @@
 
 } // namespace
 
-struct control_part::state
+struct control_service::state
 {
-    explicit state(worker& first)
-        : first(first)
-        , working(asio::make_work_guard(context))
+    explicit state(worker& lease_worker)
+        : lease_worker(lease_worker)
+        , work_guard(asio::make_work_guard(context))
     {
     }
 
@@ -145,9 +145,9 @@
     asio::awaitable<std::pair<unsigned, json::value>> replace(std::string body);
     asio::awaitable<std::optional<messages::configuration>> read();
 
-    worker& first;
+    worker& lease_worker;
     asio::io_context context{1};
-    asio::executor_work_guard<asio::io_context::executor_type> working;
+    asio::executor_work_guard<asio::io_context::executor_type> work_guard;
     std::unique_ptr<control_logs> logs;
     // Used on `thread` once that runs.
     std::optional<file_disk> crash_disk;
@@ -155,7 +155,7 @@
     std::thread thread;
 };
 
-control_source control_part::state::make_source()
+control_source control_service::state::make_source()
 {
     control_source source;
     source.present = [this]
@@ -189,14 +189,14 @@
         }
         return leaders;
     };
-    source.keep_crashes = [this](std::vector<crash_record> records)
+    source.persist_crashes = [this](std::vector<crash_record> records)
     {
         // The disk may take its time.
         asio::post(
             context,
             [this, records = std::move(records)]
             {
-                keep(*crash_disk, records);
+                persist(*crash_disk, records);
             });
     };
     source.control_hosts = [this]
@@ -217,15 +217,15 @@
     return source;
 }
 
-json::value control_part::state::describe() const
+json::value control_service::state::describe() const
 {
     return json::object{{"logs", logs->state()}, {"registry", syncs->dump()}};
 }
 
-json::value control_part::state::history() const
+json::value control_service::state::history() const
 {
     json::array all;
-    for (const auto& accepted : logs->history(most_history))
+    for (const auto& accepted : logs->history(max_history))
     {
         all.push_back(json::object{
             {"revision", accepted.revision()},
@@ -234,7 +234,7 @@
     return all;
 }
 
-json::value control_part::state::rollout() const
+json::value control_service::state::rollout() const
 {
     const revision wanted(logs->present().revision());
     const auto tally = syncs->rollout();
@@ -261,7 +261,7 @@
 }
 
 asio::awaitable<std::optional<messages::configuration>>
-control_part::state::read()
+control_service::state::read()
 {
     const bool confirmed = co_await logs->confirm_configuration();
     if (!confirmed)
@@ -272,40 +272,41 @@
 }
 
 asio::awaitable<std::pair<unsigned, json::value>>
-control_part::state::replace(std::string body)
+control_service::state::replace(std::string body)
 {
-    std::optional<replace_order> order;
-    json_error wrong;
+    std::optional<replace_command> command;
+    json_error problem;
     leaf::try_handle_all(
         [&]() -> leaf::result<void>
         {
-            BOOST_LEAF_ASSIGN(order, parse_replace(body));
+            BOOST_LEAF_ASSIGN(command, parse_replace(body));
             return {};
         },
         [&](const json_error& error)
         {
-            wrong = error;
+            problem = error;
         },
         [] {});
-    if (!order)
+    if (!command)
     {
-        co_return std::pair(422U, to_json(wrong));
+        co_return std::pair(422U, to_json(problem));
     }
     const auto result = co_await logs->replace_member(
-        order->old_host, order->new_host, order->address);
+        command->old_host, command->new_host, command->address);
     json::value answer = json::object{{"outcome", to_string(result)}};
     co_return std::pair(status_of(result), std::move(answer));
 }
 
-leaf::result<std::unique_ptr<control_part>> control_part::start(worker& first)
+leaf::result<std::unique_ptr<control_service>>
+control_service::start(worker& lease_worker)
 {
-    const auto& configured = first.shared.configured;
-    auto made = std::make_unique<state>(first);
+    const auto& configured = lease_worker.shared.configured;
+    auto made = std::make_unique<state>(lease_worker);
     BOOST_LEAF_ASSIGN(
         made->logs,
         control_logs::create(made->context, make_control_settings(configured)));
     made->syncs = std::make_unique<sync_server>(
-        configured.host.id, first.shared.run, made->make_source());
+        configured.host.id, lease_worker.shared.run, made->make_source());
     BOOST_LEAF_ASSIGN(
         made->crash_disk,
         file_disk::open(configured.control->data_folder / crash_folder));
@@ -320,8 +321,8 @@
             syncs->notify();
         });
     asio::co_spawn(
-        first.context,
-        made->syncs->exchange_leases(first.peers),
+        lease_worker.context,
+        made->syncs->exchange_leases(lease_worker.peers),
         asio::detached);
     auto& context = made->context;
     made->thread = std::thread(
@@ -329,21 +330,22 @@
         {
             context.run();
         });
-    return std::unique_ptr<control_part>(new control_part(std::move(made)));
+    return std::unique_ptr<control_service>(
+        new control_service(std::move(made)));
 }
 
-control_part::control_part(std::unique_ptr<state> state)
+control_service::control_service(std::unique_ptr<state> state)
     : state_(std::move(state))
 {
 }
 
-control_part::~control_part()
+control_service::~control_service()
 {
     stop();
 }
 
 asio::awaitable<void>
-control_part::serve(worker&, std::shared_ptr<wire::server_stream> stream)
+control_service::serve(worker&, std::shared_ptr<wire::server_stream> stream)
 {
     const auto& path = stream->head().path;
     if (path == sync_path || path == registry_path)
@@ -358,17 +360,17 @@
     }
 }
 
-void control_part::end_syncs()
+void control_service::release_held_syncs()
 {
     state_->syncs->stop();
 }
 
-asio::awaitable<void> control_part::hand_over()
+asio::awaitable<void> control_service::hand_over()
 {
     co_await state_->logs->hand_over(hand_over_limit);
 }
 
-void control_part::stop()
+void control_service::stop()
 {
     if (state_->thread.joinable())
     {
@@ -377,7 +379,7 @@
     }
 }
 
-control_answers control_part::answers()
+control_answers control_service::answers()
 {
     control_answers made;
     made.propose = [this](messages::change change)
--- a/nutmegusher/node/control_part.hpp
+++ b/nutmegusher/node/control_service.hpp
@@ -1,7 +1,7 @@
 // What makes a daemon a control host: the replicated logs on a thread of
 // their own, and the exchange with daemons.
-#ifndef NUTMEGUSHER_NODE_CONTROL_PART_HPP
-#define NUTMEGUSHER_NODE_CONTROL_PART_HPP
+#ifndef NUTMEGUSHER_NODE_CONTROL_SERVICE_HPP
+#define NUTMEGUSHER_NODE_CONTROL_SERVICE_HPP
 
 #include "nutmegusher/node/operator_api.hpp"
 #include "nutmegusher/node/worker.hpp"
@@ -14,19 +14,19 @@
 namespace nutmegusher::node
 {
 
-class control_part
+class control_service
 {
 public:
-    // Opens the data folder and starts the thread of the logs. `first` is the
-    // worker on which leases are exchanged. Requires: the settings have a
-    // [control] section.
-    // Errors: those of the storage and of the identity of the data folder.
-    [[nodiscard]] static leaf::result<std::unique_ptr<control_part>>
-    start(worker& first);
+    // Opens the data folder and starts the thread of the logs. `lease_worker`
+    // is the worker on which leases are exchanged. Requires: the settings have
+    // a [control] section. Errors: those of the storage and of the identity of
+    // the data folder.
+    [[nodiscard]] static leaf::result<std::unique_ptr<control_service>>
+    start(worker& lease_worker);
 
-    control_part(const control_part&) = delete;
-    control_part& operator=(const control_part&) = delete;
-    ~control_part();
+    control_service(const control_service&) = delete;
+    control_service& operator=(const control_service&) = delete;
+    ~control_service();
 
     // Serves one stream whose path begins with "/control/"; from any worker.
     asio::awaitable<void>
@@ -37,7 +37,7 @@
 
     // Answers the syncs that are held. Call it when daemons are told to go
     // elsewhere: from now on each sync is answered at once.
-    void end_syncs();
+    void release_held_syncs();
 
     // Ends the thread of the logs.
     void stop();
@@ -47,7 +47,7 @@
 private:
     struct state;
 
-    explicit control_part(std::unique_ptr<state> state);
+    explicit control_service(std::unique_ptr<state> state);
 
     std::unique_ptr<state> state_;
 };
--- a/nutmegusher/node/control_peers.cpp
+++ b/nutmegusher/node/control_transport.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/node/control_peers.hpp"
+#include "nutmegusher/node/control_transport.hpp"
 
 #include "nutmegusher/node/settings.hpp"
 
@@ -17,17 +17,17 @@
 constexpr duration batch_timeout = std::chrono::seconds(1);
 // The least that a line carries, on top of it: a time that doesn't grow with
 // the bytes loses what is large whole, each time.
-constexpr double least_bytes_per_second = 1'000'000;
+constexpr double min_bytes_per_second = 1'000'000;
 // An answer never waits longer: the sender's slot would be taken for nothing.
-constexpr duration answer_limit = std::chrono::milliseconds(500);
+constexpr duration answer_timeout = std::chrono::milliseconds(500);
 // A batch may have one message more than this. Small ones, as a batch arrives
 // or is lost whole.
-constexpr std::size_t batch_bytes = 1024 * 1024;
+constexpr std::size_t max_batch_bytes = 1024 * 1024;
 
-duration time_for(std::size_t bytes)
+duration timeout_for(std::size_t bytes)
 {
     const std::chrono::duration<double> transfer(
-        static_cast<double>(bytes) / least_bytes_per_second);
+        static_cast<double>(bytes) / min_bytes_per_second);
     return batch_timeout + std::chrono::duration_cast<duration>(transfer);
 }
 
@@ -40,19 +40,20 @@
     return address.address().is_v6() ? "[" + ip + "]:" + port : ip + ":" + port;
 }
 
-control_peers::control_peers(asio::io_context& context, receiver receive)
+control_transport::control_transport(
+    asio::io_context& context, receiver receive)
     : context_(context)
     , receive_(std::move(receive))
     , sessions_(context, wire::session_options())
 {
 }
 
-void control_peers::join(std::uint64_t cluster)
+void control_transport::join(std::uint64_t cluster)
 {
     cluster_ = cluster;
 }
 
-void control_peers::learn(const messages::replica_set& members)
+void control_transport::update_addresses(const messages::replica_set& members)
 {
     for (const auto& member : members.members())
     {
@@ -63,22 +64,23 @@
     }
 }
 
-std::optional<control_peers::endpoint> control_peers::find(replica_id id) const
+std::optional<control_transport::endpoint>
+control_transport::find(replica_id id) const
 {
     const auto known = peers_.find(id);
     return known == peers_.end() ? std::nullopt : known->second.address;
 }
 
-void control_peers::post(messages::replica_message message)
+void control_transport::post(messages::replica_message message)
 {
     auto& target = peers_[replica_id(message.to())];
-    if (target.queue.size() < messages_queued)
+    if (target.queue.size() < max_queued_messages)
     {
         target.queue.push_back(std::move(message));
     }
 }
 
-void control_peers::flush()
+void control_transport::flush()
 {
     for (auto& [id, target] : peers_)
     {
@@ -86,7 +88,7 @@
         {
             const auto first = std::move(target.waiting.front());
             target.waiting.pop_front();
-            first->set(take_batch(target, false));
+            first->set(dequeue_batch(target, false));
         }
         while (!target.waiting.empty())
         {
@@ -97,21 +99,21 @@
     }
 }
 
-asio::awaitable<std::string> control_peers::answer(replica_id from)
+asio::awaitable<std::string> control_transport::answer(replica_id from)
 {
-    const auto slot = std::make_shared<control_slot<std::string>>(context_);
+    const auto slot = std::make_shared<async_value<std::string>>(context_);
     peers_[from].waiting.push_back(slot);
-    auto batch = co_await slot->wait(host_clock().now() + answer_limit);
+    auto batch = co_await slot->wait(host_clock().now() + answer_timeout);
     co_return batch ? std::move(*batch) : std::string();
 }
 
 // As many messages as fit; snapshots travel alone, in batches of their own.
-std::string control_peers::take_batch(peer& from, bool with_snapshots)
+std::string control_transport::dequeue_batch(peer& from, bool with_snapshots)
 {
     messages::replica_batch batch;
     batch.set_cluster(cluster_);
     std::size_t bytes = 0;
-    while (!from.queue.empty() && bytes < batch_bytes)
+    while (!from.queue.empty() && bytes < max_batch_bytes)
     {
         auto& next = from.queue.front();
         if (next.has_install() &&
@@ -119,11 +121,11 @@
         {
             break;
         }
-        const bool alone = next.has_install();
+        const bool is_snapshot = next.has_install();
         bytes += next.ByteSizeLong();
         *batch.add_messages() = std::move(next);
         from.queue.pop_front();
-        if (alone)
+        if (is_snapshot)
         {
             break;
         }
@@ -131,17 +133,17 @@
     return batch.SerializeAsString();
 }
 
-void control_peers::send_next(replica_id to, peer& target)
+void control_transport::send_next(replica_id to, peer& target)
 {
     if (!target.address)
     {
         target.queue.clear();
         return;
     }
-    while (!target.queue.empty() && target.in_flight < batches_in_flight)
+    while (!target.queue.empty() && target.in_flight < max_batches_in_flight)
     {
         ++target.in_flight;
-        auto body = take_batch(target, true);
+        auto body = dequeue_batch(target, true);
         asio::co_spawn(
             context_,
             send_batch(to, *target.address, std::move(body)),
@@ -150,9 +152,9 @@
 }
 
 asio::awaitable<void>
-control_peers::send_batch(replica_id to, endpoint at, std::string body)
+control_transport::send_batch(replica_id to, endpoint at, std::string body)
 {
-    const auto timeout = time_for(body.size());
+    const auto timeout = timeout_for(body.size());
     const auto answer =
         co_await wire::call(sessions_, at, raft_path, body, timeout);
     auto& target = peers_[to];
--- a/nutmegusher/node/control_peers.hpp
+++ b/nutmegusher/node/control_transport.hpp
@@ -1,9 +1,9 @@
 // The messages of all groups to the other control hosts: one batch a host.
-#ifndef NUTMEGUSHER_NODE_CONTROL_PEERS_HPP
-#define NUTMEGUSHER_NODE_CONTROL_PEERS_HPP
+#ifndef NUTMEGUSHER_NODE_CONTROL_TRANSPORT_HPP
+#define NUTMEGUSHER_NODE_CONTROL_TRANSPORT_HPP
 
 #include "nutmegusher/control/control.hpp"
-#include "nutmegusher/node/control_slot.hpp"
+#include "nutmegusher/node/async_value.hpp"
 #include "nutmegusher/wire/wire.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -25,28 +25,28 @@
 
 // Batches to one host that wait for their answers at once. More than one, so
 // that entries flow while a follower syncs the ones before.
-inline constexpr std::size_t batches_in_flight = 4;
+inline constexpr std::size_t max_batches_in_flight = 4;
 
 // Messages to one host that wait to be sent; more are dropped, as the log
 // expects of a network.
-inline constexpr std::size_t messages_queued = 4096;
+inline constexpr std::size_t max_queued_messages = 4096;
 
 // For the logs' thread. The answers of a follower travel back in the response
 // to the batch that they answer, which spares a second stream.
-class control_peers
+class control_transport
 {
 public:
     using endpoint = asio::ip::tcp::endpoint;
     // Takes the messages that came back in a response.
     using receiver = std::function<void(const messages::replica_batch&)>;
 
-    control_peers(asio::io_context& context, receiver receive);
+    control_transport(asio::io_context& context, receiver receive);
 
     // From now on batches carry this cluster, and others' are dropped.
     void join(std::uint64_t cluster);
 
     // Where a member can be reached.
-    void learn(const messages::replica_set& members);
+    void update_addresses(const messages::replica_set& members);
     [[nodiscard]] std::optional<endpoint> find(replica_id id) const;
 
     // Queues; sent by `flush`.
@@ -69,11 +69,11 @@
     {
         std::optional<endpoint> address;
         std::deque<messages::replica_message> queue;
-        std::deque<std::shared_ptr<control_slot<std::string>>> waiting;
+        std::deque<std::shared_ptr<async_value<std::string>>> waiting;
         std::size_t in_flight = 0;
     };
 
-    [[nodiscard]] std::string take_batch(peer& from, bool with_snapshots);
+    [[nodiscard]] std::string dequeue_batch(peer& from, bool with_snapshots);
     void send_next(replica_id to, peer& target);
     asio::awaitable<void>
     send_batch(replica_id to, endpoint at, std::string body);
--- a/nutmegusher/node/control_growth.cpp
+++ b/nutmegusher/node/control_voters.cpp
@@ -17,10 +17,10 @@
 constexpr duration admission_timeout = std::chrono::milliseconds(500);
 // A founder is left this long to found the cluster, before a host that was
 // named as one asks others whether there is a cluster already.
-constexpr duration founding_time = std::chrono::seconds(5);
+constexpr duration founding_delay = std::chrono::seconds(5);
 // A host that asked is a candidate for so long; it asks again several times
 // within it.
-constexpr duration question_memory = std::chrono::seconds(2);
+constexpr duration candidate_lifetime = std::chrono::seconds(2);
 // A voter that has known no leader for so long asks as well: it may have been
 // removed while it was cut off.
 constexpr duration leaderless_limit = std::chrono::seconds(2);
@@ -30,7 +30,7 @@
 constexpr duration admission_log_after = std::chrono::seconds(3);
 constexpr duration admission_log_interval = std::chrono::seconds(10);
 // Of other hosts, as answers told; a cluster has 23 control hosts at most.
-constexpr std::size_t most_told_members = 64;
+constexpr std::size_t max_reported_members = 64;
 
 bool contains_voter(const messages::replica_set& members, std::uint64_t id)
 {
@@ -80,7 +80,7 @@
     const bool is_founder = settings_.bootstrap && is_seed(settings_.address);
     if (is_founder)
     {
-        co_await pause(founding_time);
+        co_await pause(founding_delay);
     }
     while (!stopped_)
     {
@@ -101,7 +101,7 @@
     {
         hosts.insert(member.address);
     }
-    hosts.insert(told_members_.begin(), told_members_.end());
+    hosts.insert(reported_members_.begin(), reported_members_.end());
     hosts.erase(settings_.address);
     return {hosts.begin(), hosts.end()};
 }
@@ -122,7 +122,11 @@
         request.set_cluster(identity_.cluster());
         const auto body = request.SerializeAsString();
         const auto answer = co_await wire::call(
-            peers_.sessions(), host, "/control/admit", body, admission_timeout);
+            transport_.sessions(),
+            host,
+            "/control/admit",
+            body,
+            admission_timeout);
         messages::admit_reply reply;
         if (stopped_)
         {
@@ -131,35 +135,36 @@
         const bool answered = answer && reply.ParseFromString(*answer);
         answers += answers.empty() ? "" : ", ";
         answers += to_text(host) + (answered ? " no leader" : " silent");
-        if (answered && take_admission(reply))
+        if (answered && apply_admission_reply(reply))
         {
             not_admitted_since_.reset();
             co_return;
         }
     }
-    note_not_admitted(answers);
+    log_not_admitted(answers);
 }
 
 // True where a leader has noted the question.
-bool control_loop::take_admission(const messages::admit_reply& reply)
+bool control_loop::apply_admission_reply(const messages::admit_reply& reply)
 {
     for (const auto& text : reply.members())
     {
         const auto address = parse_endpoint(text);
-        if (address && told_members_.size() < most_told_members)
+        if (address && reported_members_.size() < max_reported_members)
         {
-            told_members_.insert(*address);
+            reported_members_.insert(*address);
         }
     }
     if (identity_.cluster() == 0 && reply.cluster() != 0)
     {
         const messages::replica_set unknown;
-        static_cast<void>(establish(reply.cluster(), reply.groups(), unknown));
+        static_cast<void>(
+            adopt_cluster(reply.cluster(), reply.groups(), unknown));
     }
     return reply.taken() && reply.cluster() == identity_.cluster();
 }
 
-void control_loop::note_not_admitted(const std::string& answers)
+void control_loop::log_not_admitted(const std::string& answers)
 {
     const auto now = host_clock().now();
     if (!not_admitted_since_)
@@ -198,30 +203,31 @@
         co_return reply;
     }
     const auto id = request.member().identity();
-    asking_[id] = {request.member(), host_clock().now()};
+    candidates_[id] = {request.member(), host_clock().now()};
     const auto body = request.SerializeAsString();
     bool taken = true;
-    bool leads_one = false;
+    bool leads_any = false;
     for (std::uint32_t group = 0; group < identity_.groups(); ++group)
     {
-        const bool here = leads_with_lease(group);
-        bool there = false;
-        if (!here && forward)
+        const bool led_here = leads_with_lease(group);
+        bool accepted_by_leader = false;
+        if (!led_here && forward)
         {
             const auto deadline = host_clock().now() + admission_timeout;
-            const auto told = co_await ask_leader<messages::admit_reply>(
-                group, "/control/lead/admit", body, deadline);
-            there = told && told->taken();
+            const auto leader_reply =
+                co_await ask_leader<messages::admit_reply>(
+                    group, "/control/lead/admit", body, deadline);
+            accepted_by_leader = leader_reply && leader_reply->taken();
         }
-        taken = taken && (here || there);
-        leads_one = leads_one || here;
+        taken = taken && (led_here || accepted_by_leader);
+        leads_any = leads_any || led_here;
     }
-    reply.set_taken(forward ? taken : leads_one);
+    reply.set_taken(forward ? taken : leads_any);
     co_return reply;
 }
 
 // Each leader's turn; called several times a second.
-void control_loop::tend_members()
+void control_loop::maintain_voters()
 {
     if (settings_.voters == 0 || handing_over_)
     {
@@ -229,27 +235,28 @@
     }
     const auto now = host_clock().now();
     std::erase_if(
-        asking_,
+        candidates_,
         [now](const auto& item)
         {
-            return now - item.second.asked_at > question_memory;
+            return now - item.second.requested_at > candidate_lifetime;
         });
     for_each_group(
         [&](auto& group)
         {
             if (group.running() != nullptr)
             {
-                tend_group(group.number(), group.running()->core(), now);
+                maintain_group_voters(
+                    group.number(), group.running()->core(), now);
             }
         });
 }
 
-void control_loop::tend_group(
+void control_loop::maintain_group_voters(
     std::uint32_t number, replica& core, time_point now)
 {
     if (!core.holds_lease(now))
     {
-        heard_.erase(number);
+        last_active_.erase(number);
         return;
     }
     const auto view = view_members(number, core, now);
@@ -257,14 +264,14 @@
     {
         return;
     }
-    std::vector<messages::replica_member> asking;
-    for (const auto& [id, question] : asking_)
+    std::vector<messages::replica_member> candidates;
+    for (const auto& [id, candidate] : candidates_)
     {
-        asking.push_back(question.member);
+        candidates.push_back(candidate.member);
     }
     voter_goal goal;
     goal.voters = settings_.voters;
-    auto next = membership_towards(goal, view, asking);
+    auto next = membership_towards(goal, view, candidates);
     if (!next)
     {
         return;
@@ -284,7 +291,7 @@
 std::vector<member_view> control_loop::view_members(
     std::uint32_t number, const replica& core, time_point now)
 {
-    auto& heard = heard_[number];
+    auto& last_active = last_active_[number];
     const auto progress = core.progress(now);
     std::vector<member_view> view;
     for (const auto& member : core.members().members())
@@ -306,7 +313,7 @@
                 return each.id == id;
             });
         const bool active = known != progress.end() && known->recently_active;
-        auto& last = heard.emplace(id, now).first->second;
+        auto& last = last_active.emplace(id, now).first->second;
         last = active ? now : last;
         seen.silent_for = now - last;
         seen.caught_up = is_caught_up(core, id, now);
--- a/nutmegusher/node/control_growth_test.cpp
+++ b/nutmegusher/node/control_voters_test.cpp
@@ -79,7 +79,7 @@
         return count;
     }
 
-    bool all_see(std::size_t voters)
+    bool all_report(std::size_t voters)
     {
         for (std::size_t i = 0; i < host_count; ++i)
         {
@@ -128,7 +128,7 @@
     EXPECT_TRUE(eventually(
         [&]
         {
-            return all_see(host_count);
+            return all_report(host_count);
         }));
     EXPECT_EQ(install(4, 1), messages::change_accepted);
 }
@@ -151,7 +151,7 @@
     EXPECT_TRUE(eventually(
         [&]
         {
-            return all_see(host_count);
+            return all_report(host_count);
         }));
     EXPECT_EQ(install(0, 1), messages::change_accepted);
 }
@@ -173,7 +173,7 @@
     EXPECT_TRUE(eventually(
         [&]
         {
-            return all_see(host_count);
+            return all_report(host_count);
         }));
     EXPECT_TRUE(eventually(
         [&]
@@ -193,7 +193,7 @@
     ASSERT_TRUE(eventually(
         [&]
         {
-            return all_see(host_count);
+            return all_report(host_count);
         }));
     ASSERT_EQ(install(0, 1), messages::change_accepted);
     wipe(0);
@@ -210,7 +210,7 @@
     EXPECT_TRUE(eventually(
         [&]
         {
-            return all_see(host_count);
+            return all_report(host_count);
         }));
     // What is applied here may lag by a heartbeat; a confirmed read may not.
     EXPECT_TRUE(hosts[0]->get(hosts[0]->logs().confirm_configuration()));
@@ -219,13 +219,13 @@
 
 // Whichever two lose their disks, seeds or not: both are voters again, also
 // where each is the first host that the other asks.
-class emptied_pair
+class wiped_pair
     : public growing_cluster,
       public testing::WithParamInterface<std::pair<std::size_t, std::size_t>>
 {
 };
 
-TEST_P(emptied_pair, votes_again_without_anybody)
+TEST_P(wiped_pair, votes_again_without_an_operator)
 {
     for (std::size_t i = 0; i < host_count; ++i)
     {
@@ -234,7 +234,7 @@
     ASSERT_TRUE(eventually(
         [&]
         {
-            return all_see(host_count);
+            return all_report(host_count);
         }));
     ASSERT_EQ(install(0, 1), messages::change_accepted);
     const auto [first, second] = GetParam();
@@ -245,14 +245,14 @@
     EXPECT_TRUE(eventually(
         [&]
         {
-            return all_see(host_count);
+            return all_report(host_count);
         }));
     EXPECT_EQ(install(second, 2), messages::change_accepted);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     each,
-    emptied_pair,
+    wiped_pair,
     testing::Values(
         std::pair(0, 1),
         std::pair(0, 2),
--- a/nutmegusher/node/crash_store.cpp
+++ b/nutmegusher/node/crash_store.cpp
@@ -35,10 +35,10 @@
                 return records;
             }
             const auto written_at = std::min(kept.written_at_ms(), wall_ms);
-            const std::chrono::milliseconds since(wall_ms - written_at);
+            const std::chrono::milliseconds elapsed(wall_ms - written_at);
             for (const auto& each : kept.records())
             {
-                records.push_back(from_message(each, now - since));
+                records.push_back(from_message(each, now - elapsed));
             }
             return records;
         },
--- a/nutmegusher/node/crash_store.hpp
+++ b/nutmegusher/node/crash_store.hpp
@@ -5,7 +5,7 @@
 #define NUTMEGUSHER_NODE_CRASH_STORE_HPP
 
 #include "nutmegusher/control/control.hpp"
-#include "nutmegusher/node/crash_watch.hpp"
+#include "nutmegusher/node/crash_tracker.hpp"
 
 #include <algorithm>
 #include <span>
--- a/nutmegusher/node/crash_watch.cpp
+++ b/nutmegusher/node/crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/node/crash_watch.hpp"
+#include "nutmegusher/node/crash_tracker.hpp"
 
 #include <algorithm>
 #include <array>
@@ -18,9 +18,9 @@
 constexpr int hexadecimal = 16;
 constexpr duration expiry_interval = std::chrono::seconds(5);
 // Records in one message.
-constexpr std::size_t most_told_at_once = 64;
+constexpr std::size_t max_records_per_request = 64;
 // What comes from outside is no older than this.
-constexpr std::uint64_t longest_age_ms = 24ULL * 3600 * 1000;
+constexpr std::uint64_t max_age_ms = 24ULL * 3600 * 1000;
 
 std::uint64_t to_age(time_point then, time_point now)
 {
@@ -31,7 +31,7 @@
 
 time_point from_age(std::uint64_t age_ms, time_point now)
 {
-    return now - milliseconds(std::min(age_ms, longest_age_ms));
+    return now - milliseconds(std::min(age_ms, max_age_ms));
 }
 
 // In the order of `services_`, whatever the order of the request.
@@ -126,13 +126,13 @@
     }
 }
 
-crash_assessment crash_watch::assess(std::uint64_t digest) const
+crash_assessment crash_tracker::assess(std::uint64_t digest) const
 {
     const std::scoped_lock lock(mutex_);
     return evidence_.assess(digest, host_clock().now());
 }
 
-bool crash_watch::begin_suspect(std::uint64_t digest)
+bool crash_tracker::begin_suspect(std::uint64_t digest)
 {
     const std::scoped_lock lock(mutex_);
     if (suspects_.contains(digest))
@@ -143,7 +143,7 @@
     return true;
 }
 
-void crash_watch::end_suspect(std::uint64_t digest)
+void crash_tracker::end_suspect(std::uint64_t digest)
 {
     const std::scoped_lock lock(mutex_);
     const auto found = suspects_.find(digest);
@@ -153,51 +153,51 @@
     }
 }
 
-bool crash_watch::is_quarantined(std::uint64_t digest, time_point now) const
+bool crash_tracker::is_quarantined(std::uint64_t digest, time_point now) const
 {
     return evidence_.assess(digest, now).suspicion ==
            crash_suspicion::quarantined;
 }
 
-void crash_watch::note_quarantine(
-    const crash_record& told, bool was_quarantined)
+void crash_tracker::log_if_quarantined(
+    const crash_record& record, bool was_quarantined)
 {
-    if (was_quarantined || !is_quarantined(told.digest, host_clock().now()))
+    if (was_quarantined || !is_quarantined(record.digest, host_clock().now()))
     {
         return;
     }
     log_event(
         event::request_quarantined,
-        {{"digest", digest_text(told.digest)},
-         {"service", told.service},
+        {{"digest", digest_text(record.digest)},
+         {"service", record.service},
          {"ends",
           std::uint64_t{
-              evidence_.assess(told.digest, host_clock().now()).ends}}});
+              evidence_.assess(record.digest, host_clock().now()).ends}}});
 }
 
-void crash_watch::tell(std::uint64_t digest)
+void crash_tracker::queue_record(std::uint64_t digest)
 {
     std::erase_if(
-        untold_,
+        unsent_,
         [digest](const auto& item)
         {
             return item.second == digest;
         });
-    untold_[++last_untold_] = digest;
+    unsent_[++last_unsent_] = digest;
 }
 
-void crash_watch::tell_all()
+void crash_tracker::queue_all_records()
 {
     for (const auto& each : evidence_.changes_since(0))
     {
         if (!each.ends.empty())
         {
-            tell(each.digest);
+            queue_record(each.digest);
         }
     }
 }
 
-void crash_watch::note_end(
+void crash_tracker::record_crash(
     std::uint64_t digest,
     std::uint64_t upstream,
     duration ran_for,
@@ -206,93 +206,95 @@
     const auto now = host_clock().now();
     {
         const std::scoped_lock lock(mutex_);
-        const bool before = is_quarantined(digest, now);
+        const bool already_quarantined = is_quarantined(digest, now);
         const upstream_crash end{upstream, now - ran_for, now};
         evidence_.add_crash(digest, end, service.str(), now);
-        tell(digest);
-        note_quarantine({digest, service.str(), {}, {}}, before);
+        queue_record(digest);
+        log_if_quarantined(
+            {digest, service.str(), {}, {}}, already_quarantined);
     }
-    on_news();
+    on_change();
 }
 
-in_flight_requests::ticket crash_watch::begin_run(std::uint64_t digest)
+in_flight_requests::ticket crash_tracker::begin_run(std::uint64_t digest)
 {
     const std::scoped_lock lock(mutex_);
     return runs_.begin(digest, host_clock().now());
 }
 
-void crash_watch::complete_run(
-    in_flight_requests::ticket of, std::uint64_t digest)
+void crash_tracker::complete_run(
+    in_flight_requests::ticket run, std::uint64_t digest)
 {
-    bool is_news = false;
+    bool changed = false;
     {
         const std::scoped_lock lock(mutex_);
-        runs_.end(of);
-        is_news = evidence_.add_completion(digest, host_clock().now());
-        if (is_news)
+        runs_.end(run);
+        changed = evidence_.add_completion(digest, host_clock().now());
+        if (changed)
         {
-            tell(digest);
+            queue_record(digest);
         }
     }
-    if (is_news)
+    if (changed)
     {
-        on_news();
+        on_change();
     }
 }
 
-void crash_watch::leave_run(in_flight_requests::ticket of)
+void crash_tracker::discard_run(in_flight_requests::ticket run)
 {
     const std::scoped_lock lock(mutex_);
-    runs_.end(of);
+    runs_.end(run);
 }
 
-void crash_watch::lose_run(in_flight_requests::ticket of)
+void crash_tracker::mark_run_lost(in_flight_requests::ticket run)
 {
     const std::scoped_lock lock(mutex_);
-    runs_.mark_lost(of, host_clock().now());
+    runs_.mark_lost(run, host_clock().now());
 }
 
-void crash_watch::on_upstream_ended(
+void crash_tracker::on_upstream_crashed(
     std::uint64_t upstream, const std::string& id, const service_name& service)
 {
     const auto now = host_clock().now();
     {
         const std::scoped_lock lock(mutex_);
-        if (ended_ == upstream)
+        if (last_crashed_upstream_ == upstream)
         {
             return;
         }
-        ended_ = upstream;
-        const auto at_work = runs_.take_all(now);
+        last_crashed_upstream_ = upstream;
+        const auto in_flight = runs_.take_all(now);
         std::uint64_t suspected = 0;
-        for (const auto& each : at_work)
+        for (const auto& each : in_flight)
         {
             if (evidence_.completed_recently(each.digest, now))
             {
                 continue;
             }
             ++suspected;
-            const bool before = is_quarantined(each.digest, now);
+            const bool already_quarantined = is_quarantined(each.digest, now);
             const upstream_crash end{upstream, each.started_at, now};
             evidence_.add_crash(each.digest, end, service.str(), now);
-            tell(each.digest);
-            note_quarantine({each.digest, service.str(), {}, {}}, before);
+            queue_record(each.digest);
+            log_if_quarantined(
+                {each.digest, service.str(), {}, {}}, already_quarantined);
         }
         log_event(
             event::upstream_ended,
             {{"upstream", id},
              {"service", service.str()},
-             {"at_work", std::uint64_t{at_work.size()}},
+             {"at_work", std::uint64_t{in_flight.size()}},
              {"suspected", suspected}});
     }
-    on_news();
+    on_change();
 }
 
-void crash_watch::fill(messages::sync_request& request) const
+void crash_tracker::fill_request(messages::sync_request& request) const
 {
     const auto now = host_clock().now();
     const std::scoped_lock lock(mutex_);
-    for (const auto& [number, digest] : untold_)
+    for (const auto& [number, digest] : unsent_)
     {
         const auto record = evidence_.find(digest);
         if (record)
@@ -300,7 +302,7 @@
             *request.add_crashes() = to_message(*record, now);
         }
         request.set_crashes_told(number);
-        if (request.crashes_size() >= static_cast<int>(most_told_at_once))
+        if (request.crashes_size() >= static_cast<int>(max_records_per_request))
         {
             break;
         }
@@ -311,30 +313,30 @@
     request.set_crash_epoch(epoch_);
 }
 
-bool crash_watch::on_reply(
+bool crash_tracker::on_reply(
     const messages::sync_request& request, const messages::sync_reply& reply)
 {
     const auto now = host_clock().now();
     const std::scoped_lock lock(mutex_);
-    untold_.erase(untold_.begin(), untold_.upper_bound(request.crashes_told()));
+    unsent_.erase(unsent_.begin(), unsent_.upper_bound(request.crashes_told()));
     for (const auto& each : reply.crashes())
     {
         const auto record = from_message(each, now);
-        const bool before = is_quarantined(record.digest, now);
+        const bool already_quarantined = is_quarantined(record.digest, now);
         evidence_.merge(record, now);
-        note_quarantine(record, before);
-        const bool counts = evidence_.assess(record.digest, now).ends > 0;
-        if (!record.ends.empty() && !counts)
+        log_if_quarantined(record, already_quarantined);
+        const bool has_crashes = evidence_.assess(record.digest, now).ends > 0;
+        if (!record.ends.empty() && !has_crashes)
         {
             // It has completed here since.
-            tell(record.digest);
+            queue_record(record.digest);
         }
     }
     if (reply.crash_epoch() != epoch_)
     {
         // Another control host, or one that has forgotten.
         epoch_ = reply.crash_epoch();
-        tell_all();
+        queue_all_records();
     }
     known_stamp_ = reply.crash_stamp();
     services_ = services_in(request);
@@ -343,16 +345,16 @@
         evidence_.expire(now);
         next_expiry_ = now + expiry_interval;
     }
-    return !untold_.empty();
+    return !unsent_.empty();
 }
 
-std::vector<crash_record> crash_watch::quarantined() const
+std::vector<crash_record> crash_tracker::quarantined() const
 {
     const std::scoped_lock lock(mutex_);
     return evidence_.quarantined(host_clock().now());
 }
 
-bool crash_watch::release(std::uint64_t digest)
+bool crash_tracker::release(std::uint64_t digest)
 {
     {
         const std::scoped_lock lock(mutex_);
@@ -360,13 +362,13 @@
         {
             return false;
         }
-        tell(digest);
+        queue_record(digest);
     }
-    on_news();
+    on_change();
     return true;
 }
 
-std::size_t crash_watch::size() const
+std::size_t crash_tracker::size() const
 {
     const std::scoped_lock lock(mutex_);
     return evidence_.size();
--- a/nutmegusher/node/crash_watch_test.cpp
+++ b/nutmegusher/node/crash_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "nutmegusher/node/crash_watch.hpp"
+#include "nutmegusher/node/crash_tracker.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,11 +12,11 @@
 constexpr std::uint64_t digest = 77;
 const service_name views("views");
 
-void see_end(crash_watch& watch, std::uint64_t upstream)
+void simulate_crash(crash_tracker& watch, std::uint64_t upstream)
 {
     const auto run = watch.begin_run(digest);
-    watch.lose_run(run);
-    watch.on_upstream_ended(upstream, "i-1", views);
+    watch.mark_run_lost(run);
+    watch.on_upstream_crashed(upstream, "i-1", views);
 }
 
 messages::sync_reply reply_of(std::uint64_t epoch)
@@ -26,74 +26,74 @@
     return reply;
 }
 
-messages::sync_request filled(const crash_watch& watch)
+messages::sync_request filled_request(const crash_tracker& watch)
 {
     messages::sync_request request;
-    watch.fill(request);
+    watch.fill_request(request);
     return request;
 }
 
-TEST(crash_watch, tells_what_it_has_seen_until_it_was_heard)
+TEST(crash_tracker, resends_records_until_acknowledged)
 {
-    crash_watch watch;
-    int news = 0;
-    watch.on_news = [&news]
+    crash_tracker watch;
+    int notifications = 0;
+    watch.on_change = [&notifications]
     {
-        ++news;
+        ++notifications;
     };
-    see_end(watch, 1);
-    EXPECT_EQ(news, 1);
-    EXPECT_EQ(filled(watch).crashes_size(), 1);
+    simulate_crash(watch, 1);
+    EXPECT_EQ(notifications, 1);
+    EXPECT_EQ(filled_request(watch).crashes_size(), 1);
     // The exchange was lost.
-    const auto again = filled(watch);
+    const auto again = filled_request(watch);
     EXPECT_EQ(again.crashes_size(), 1);
     watch.on_reply(again, reply_of(0));
-    EXPECT_EQ(filled(watch).crashes_size(), 0);
+    EXPECT_EQ(filled_request(watch).crashes_size(), 0);
 }
 
-TEST(crash_watch, tells_all_of_it_to_a_control_host_that_has_forgotten)
+TEST(crash_tracker, resends_everything_to_a_restarted_control_host)
 {
-    crash_watch watch;
-    see_end(watch, 1);
-    watch.on_reply(filled(watch), reply_of(1));
-    watch.on_reply(filled(watch), reply_of(1));
-    EXPECT_EQ(filled(watch).crashes_size(), 0);
-    EXPECT_TRUE(watch.on_reply(filled(watch), reply_of(2)));
-    EXPECT_EQ(filled(watch).crashes_size(), 1);
+    crash_tracker watch;
+    simulate_crash(watch, 1);
+    watch.on_reply(filled_request(watch), reply_of(1));
+    watch.on_reply(filled_request(watch), reply_of(1));
+    EXPECT_EQ(filled_request(watch).crashes_size(), 0);
+    EXPECT_TRUE(watch.on_reply(filled_request(watch), reply_of(2)));
+    EXPECT_EQ(filled_request(watch).crashes_size(), 1);
 }
 
-TEST(crash_watch, counts_an_end_once_however_many_calls_it_broke)
+TEST(crash_tracker, counts_a_crash_once_however_many_calls_it_broke)
 {
-    crash_watch watch;
+    crash_tracker watch;
     const auto first = watch.begin_run(digest);
     const auto second = watch.begin_run(digest);
-    watch.lose_run(first);
-    watch.on_upstream_ended(1, "i-1", views);
-    watch.lose_run(second);
-    watch.on_upstream_ended(1, "i-1", views);
+    watch.mark_run_lost(first);
+    watch.on_upstream_crashed(1, "i-1", views);
+    watch.mark_run_lost(second);
+    watch.on_upstream_crashed(1, "i-1", views);
     EXPECT_EQ(watch.assess(digest).ends, 1U);
 }
 
-TEST(crash_watch, does_not_suspect_what_completed_there_a_moment_ago)
+TEST(crash_tracker, does_not_suspect_what_completed_there_a_moment_ago)
 {
-    crash_watch watch;
+    crash_tracker watch;
     const auto whole = watch.begin_run(digest);
     watch.complete_run(whole, digest);
-    see_end(watch, 1);
+    simulate_crash(watch, 1);
     EXPECT_EQ(watch.assess(digest).suspicion, crash_suspicion::none);
 }
 
-TEST(crash_watch, takes_what_the_entry_and_the_upstream_side_saw_for_one_end)
+TEST(crash_tracker, counts_reports_from_both_sides_as_one_crash)
 {
-    crash_watch watch;
-    see_end(watch, 1);
-    watch.note_end(digest, 1, std::chrono::milliseconds(50), views);
+    crash_tracker watch;
+    simulate_crash(watch, 1);
+    watch.record_crash(digest, 1, std::chrono::milliseconds(50), views);
     EXPECT_EQ(watch.assess(digest).ends, 1U);
 }
 
-TEST(crash_watch, lets_a_suspect_in_one_at_a_time)
+TEST(crash_tracker, admits_suspect_requests_one_at_a_time)
 {
-    crash_watch watch;
+    crash_tracker watch;
     EXPECT_TRUE(watch.begin_suspect(digest));
     EXPECT_FALSE(watch.begin_suspect(digest));
     EXPECT_TRUE(watch.begin_suspect(digest + 1));
@@ -101,7 +101,7 @@
     EXPECT_TRUE(watch.begin_suspect(digest));
 }
 
-TEST(crash_watch, records_travel_as_ages)
+TEST(crash_tracker, records_travel_as_ages)
 {
     const auto now = host_clock().now();
     crash_record record;
@@ -122,7 +122,7 @@
     EXPECT_EQ(read.cleared_at, time_point());
 }
 
-TEST(crash_watch, digests_are_read_as_they_are_written)
+TEST(crash_tracker, digests_are_read_as_they_are_written)
 {
     EXPECT_EQ(parse_digest(digest_text(digest)), digest);
     EXPECT_FALSE(parse_digest("77"));
--- a/nutmegusher/node/daemon.cpp
+++ b/nutmegusher/node/daemon.cpp
@@ -68,7 +68,7 @@
     signals.emplace(first().context, SIGTERM, SIGINT);
     if (shared.configured.control)
     {
-        BOOST_LEAF_ASSIGN(control, control_part::start(first()));
+        BOOST_LEAF_ASSIGN(control, control_service::start(first()));
     }
     sources = make_sources();
     attach_extension();
@@ -371,7 +371,7 @@
 {
     auto& first = state_->first().context;
     asio::co_spawn(first, state_->sync->run(), asio::detached);
-    asio::co_spawn(first, state_->sync->watch_age(), asio::detached);
+    asio::co_spawn(first, state_->sync->monitor_age(), asio::detached);
     if (!state_->added)
     {
         asio::co_spawn(first, state_->run_ticks(), asio::detached);
--- a/nutmegusher/node/daemon_state.hpp
+++ b/nutmegusher/node/daemon_state.hpp
@@ -2,7 +2,7 @@
 #ifndef NUTMEGUSHER_NODE_DAEMON_STATE_HPP
 #define NUTMEGUSHER_NODE_DAEMON_STATE_HPP
 
-#include "nutmegusher/node/control_part.hpp"
+#include "nutmegusher/node/control_service.hpp"
 #include "nutmegusher/node/daemon.hpp"
 #include "nutmegusher/node/http_server.hpp"
 #include "nutmegusher/node/operator_api.hpp"
@@ -54,7 +54,7 @@
                     sync->sync_now();
                 });
         };
-        shared.crashes.on_news = shared.sync_soon;
+        shared.crashes.on_change = shared.sync_soon;
     }
 
     // The worker that also does what is done once a process.
@@ -99,7 +99,7 @@
     std::vector<std::unique_ptr<worker>> workers;
     std::vector<listeners> listening;
     std::unique_ptr<sync_client> sync;
-    std::unique_ptr<control_part> control;
+    std::unique_ptr<control_service> control;
     std::unique_ptr<http_server> operators;
     std::unique_ptr<http_server> collectors;
     operator_sources sources;
--- a/nutmegusher/node/daemon_stop.cpp
+++ b/nutmegusher/node/daemon_stop.cpp
@@ -205,7 +205,7 @@
 {
     if (control)
     {
-        control->end_syncs();
+        control->release_held_syncs();
     }
     co_await on_each_worker(close_peers_of);
 }
--- a/nutmegusher/node/operator_api.hpp
+++ b/nutmegusher/node/operator_api.hpp
@@ -34,7 +34,7 @@
     std::function<asio::awaitable<std::pair<unsigned, boost::json::value>>(
         std::string body)>
         replace;
-    // See `crash_watch`; of all services.
+    // See `crash_tracker`; of all services.
     std::function<std::vector<crash_record>()> quarantined;
     std::function<bool(std::uint64_t digest)> release;
 };
--- a/nutmegusher/node/sync_client.cpp
+++ b/nutmegusher/node/sync_client.cpp
@@ -22,14 +22,14 @@
 constexpr duration poll_wait = std::chrono::seconds(1);
 // On top of it, before the control host counts as failed; also without another
 // piece of an answer that has begun.
-constexpr duration answer_limit = std::chrono::milliseconds(1500);
+constexpr duration answer_timeout = std::chrono::milliseconds(1500);
 // A reply that tells of an earlier moment comes from a host that isn't current.
 // Above what a control host holds syncs on, by the way of the answer.
-constexpr duration oldest_taken = std::chrono::milliseconds(1200);
+constexpr duration max_accepted_age = std::chrono::milliseconds(1200);
 // So many others are asked beside the poll at a time.
-constexpr std::size_t most_others_at_once = 2;
-constexpr std::size_t piece_bytes = 16384;
-constexpr std::size_t most_reply_bytes = 64 * 1024 * 1024;
+constexpr std::size_t max_hedges_in_flight = 2;
+constexpr std::size_t chunk_bytes = 16384;
+constexpr std::size_t max_reply_bytes = 64 * 1024 * 1024;
 
 std::vector<control_host> seeds(const settings& from)
 {
@@ -46,23 +46,25 @@
     return hosts;
 }
 
-locality place_of(const host_settings& host)
+locality locality_of(const host_settings& host)
 {
     return {host.data_center, host.region};
 }
 
 } // namespace
 
-sync_client::sync_client(worker& here)
-    : here_(here)
-    , view_(
-          here.shared.configured.host.id, place_of(here.shared.configured.host))
+sync_client::sync_client(worker& owner)
+    : worker_(owner)
+    , upstreams_(
+          owner.shared.configured.host.id,
+          locality_of(owner.shared.configured.host))
     , schedule_(
-          here.shared.configured.host.id, place_of(here.shared.configured.host))
-    , wake_(here.context)
-    , age_timer_(here.context)
+          owner.shared.configured.host.id,
+          locality_of(owner.shared.configured.host))
+    , poll_timer_(owner.context)
+    , age_timer_(owner.context)
 {
-    schedule_.set_hosts(seeds(here.shared.configured));
+    schedule_.set_hosts(seeds(owner.shared.configured));
 }
 
 asio::awaitable<void> sync_client::run()
@@ -76,8 +78,8 @@
         }
         if (plan.at > host_clock().now())
         {
-            wake_.expires_at(plan.at);
-            co_await wake_.async_wait(as_tuple_awaitable);
+            poll_timer_.expires_at(plan.at);
+            co_await poll_timer_.async_wait(as_tuple_awaitable);
             continue;
         }
         const auto target = *plan.target;
@@ -87,7 +89,7 @@
 
 void sync_client::sync_now()
 {
-    news_ = true;
+    has_unsent_changes_ = true;
     if (poll_)
     {
         poll_->cancel();
@@ -97,7 +99,7 @@
 void sync_client::stop()
 {
     stopped_ = true;
-    wake_.cancel();
+    poll_timer_.cancel();
     age_timer_.cancel();
     sync_now();
 }
@@ -105,36 +107,36 @@
 asio::awaitable<void> sync_client::sync_with(const control_host& target)
 {
     const auto at = parse_endpoint(target.address);
-    news_ = false;
+    has_unsent_changes_ = false;
     const auto sent_at = host_clock().now();
-    opinions_.request_sent(sent_at);
+    hedges_.request_sent(sent_at);
     schedule_.request_sent(sent_at);
     messages::sync_request request;
     std::optional<messages::sync_reply> reply;
     polling_ = true;
-    poll_left_ = false;
+    poll_abandoned_ = false;
     session_pointer session;
     if (at)
     {
         session = co_await session_with(*at);
     }
-    if (session && !poll_left_)
+    if (session && !poll_abandoned_)
     {
         // With what has happened while the session was opened.
-        news_ = false;
+        has_unsent_changes_ = false;
         request = make_request(true);
         reply = co_await exchange(*session, request, poll_);
     }
     polling_ = false;
-    if (poll_left_ || (!reply && news_))
+    if (poll_abandoned_ || (!reply && has_unsent_changes_))
     {
         co_return; // the poll was ended on purpose
     }
     const bool answered = reply && reply->accepted();
-    const bool is_current = answered && take_configuration(*reply, sent_at);
+    const bool is_current = answered && apply_configuration(*reply, sent_at);
     if (answered)
     {
-        take_members(request, *reply);
+        apply_members(request, *reply);
     }
     if (!answered && reply && reply->known_incarnation() > 0)
     {
@@ -143,54 +145,54 @@
             {{"run", request.incarnation()},
              {"known", reply->known_incarnation()},
              {"control_host", target.address}});
-        here_.shared.upstream.go_before(reply->known_incarnation());
+        worker_.shared.upstream.go_before(reply->known_incarnation());
     }
     // One that isn't current still knows leases, but may have missed changes.
     if (is_current)
     {
-        schedule_.succeeded(host_clock().now(), here_.random);
+        schedule_.succeeded(host_clock().now(), worker_.random);
     }
     else
     {
-        schedule_.failed(host_clock().now(), here_.random);
+        schedule_.failed(host_clock().now(), worker_.random);
     }
-    note_reached(target.address, answered);
+    record_reached(target.address, answered);
 }
 
-asio::awaitable<void> sync_client::watch_age()
+asio::awaitable<void> sync_client::monitor_age()
 {
     while (!stopped_)
     {
-        note_age();
+        update_age();
         const auto now = host_clock().now();
-        const auto due = opinions_.due();
+        const auto due = hedges_.due();
         if (due > now)
         {
             age_timer_.expires_at(due);
             co_await age_timer_.async_wait(as_tuple_awaitable);
             continue;
         }
-        opinions_.hedge_sent(now, here_.random);
-        if (others_asked_ >= most_others_at_once)
+        hedges_.hedge_sent(now, worker_.random);
+        if (hedges_in_flight_ >= max_hedges_in_flight)
         {
             continue;
         }
         if (auto other = schedule_.pick_alternate(now))
         {
             asio::co_spawn(
-                here_.context, ask_other(*std::move(other)), asio::detached);
+                worker_.context, send_hedge(*std::move(other)), asio::detached);
         }
     }
 }
 
-asio::awaitable<void> sync_client::ask_other(control_host target)
+asio::awaitable<void> sync_client::send_hedge(control_host target)
 {
     const auto at = parse_endpoint(target.address);
     if (!at)
     {
         co_return;
     }
-    ++others_asked_;
+    ++hedges_in_flight_;
     const auto sent_at = host_clock().now();
     std::unique_ptr<wire::client_stream> open;
     messages::sync_request request;
@@ -201,48 +203,48 @@
         request = make_request(false);
         reply = co_await exchange(*session, request, open);
     }
-    --others_asked_;
+    --hedges_in_flight_;
     const auto now = host_clock().now();
     // The poll, or another question, may have brought newer knowledge.
-    const bool is_needed = opinions_.is_stale(now);
+    const bool was_stale = hedges_.is_stale(now);
     const bool is_current =
-        reply && reply->accepted() && take_configuration(*reply, sent_at);
+        reply && reply->accepted() && apply_configuration(*reply, sent_at);
     if (!is_current)
     {
-        schedule_.alternate_failed(target.host, now, here_.random);
+        schedule_.alternate_failed(target.host, now, worker_.random);
     }
-    else if (is_needed)
+    else if (was_stale)
     {
-        leave_poll();
-        take_members(request, *reply);
-        schedule_.switch_to(target.host, now, here_.random);
-        note_reached(target.address, true);
+        abandon_poll();
+        apply_members(request, *reply);
+        schedule_.switch_to(target.host, now, worker_.random);
+        record_reached(target.address, true);
     }
 }
 
 // The poll's late answer counts no more: its list of upstreams builds on what
 // its sender told before.
-void sync_client::leave_poll()
+void sync_client::abandon_poll()
 {
-    poll_left_ = polling_;
+    poll_abandoned_ = polling_;
     if (poll_)
     {
         poll_->cancel();
     }
-    wake_.cancel();
+    poll_timer_.cancel();
 }
 
-bool sync_client::knows_something() const
+bool sync_client::is_age_known() const
 {
-    return opinions_.current_at() > time_point();
+    return hedges_.current_at() > time_point();
 }
 
-void sync_client::note_age()
+void sync_client::update_age()
 {
     const auto now = host_clock().now();
-    const auto current_at = opinions_.current_at();
-    const bool is_old = knows_something() && opinions_.is_stale(now);
-    const auto report = age_watch_.update(is_old, now);
+    const auto current_at = hedges_.current_at();
+    const bool is_stale = is_age_known() && hedges_.is_stale(now);
+    const auto report = age_monitor_.update(is_stale, now);
     const std::scoped_lock lock(mutex_);
     current_at_ = current_at;
     if (!report)
@@ -256,13 +258,13 @@
         lasts ? event::configuration_may_be_old : event::configuration_current,
         {{"age_ms", std::int64_t{age.count()}},
          {"source", std::string_view(source_)},
-         {"revision", here_.shared.configuration.current()->at().value()}});
+         {"revision", worker_.shared.configuration.current()->at().value()}});
 }
 
 asio::awaitable<sync_client::session_pointer>
 sync_client::session_with(endpoint at)
 {
-    const auto session = co_await here_.peers.get(std::move(at));
+    const auto session = co_await worker_.peers.get(std::move(at));
     if (!session)
     {
         co_return nullptr;
@@ -283,36 +285,36 @@
     }
     open = *std::move(opened);
     open->expire_after(
-        std::chrono::milliseconds(request.wait_ms()) + answer_limit);
+        std::chrono::milliseconds(request.wait_ms()) + answer_timeout);
     const auto body = request.SerializeAsString();
     const auto sent =
         co_await open->write(std::as_bytes(std::span(body)), true);
     const auto answer = co_await open->read_head();
     std::string text;
-    bool whole = false;
-    std::array<std::byte, piece_bytes> piece;
+    bool is_complete = false;
+    std::array<std::byte, chunk_bytes> chunk;
     while (sent && answer && answer->status == 200 &&
-           text.size() <= most_reply_bytes)
+           text.size() <= max_reply_bytes)
     {
         // For each piece: one limit for the whole of a large configuration lost
         // it each time where many daemons start beside one control host.
-        open->expire_after(answer_limit);
-        if (!knows_something())
+        open->expire_after(answer_timeout);
+        if (!is_age_known())
         {
             // Others asked meanwhile would send it a second time.
-            opinions_.request_sent(host_clock().now());
+            hedges_.request_sent(host_clock().now());
         }
-        const auto got = co_await open->read_some(piece);
-        if (!got || *got == 0)
+        const auto read_size = co_await open->read_some(chunk);
+        if (!read_size || *read_size == 0)
         {
-            whole = got.has_value();
+            is_complete = read_size.has_value();
             break;
         }
-        text.append(reinterpret_cast<const char*>(piece.data()), *got);
+        text.append(reinterpret_cast<const char*>(chunk.data()), *read_size);
     }
     open.reset();
     messages::sync_reply reply;
-    if (!whole || !reply.ParseFromString(text))
+    if (!is_complete || !reply.ParseFromString(text))
     {
         co_return std::nullopt;
     }
@@ -321,11 +323,11 @@
 
 messages::sync_request sync_client::make_request(bool may_wait)
 {
-    for (const auto& service : here_.shared.routes.wanted())
+    for (const auto& service : worker_.shared.routes.wanted())
     {
-        view_.add_service(service);
+        upstreams_.add_service(service);
     }
-    const auto& shared = here_.shared;
+    const auto& shared = worker_.shared;
     const auto& host = shared.configured.host;
     const auto running = shared.configuration.current()->at();
     messages::sync_request request;
@@ -338,8 +340,8 @@
     {
         *request.mutable_own() = *own;
     }
-    view_.fill_request(request);
-    shared.crashes.fill(request);
+    upstreams_.fill_request(request);
+    shared.crashes.fill_request(request);
     request.set_linearizable(!confirmed_);
     const auto wait =
         std::chrono::duration_cast<std::chrono::milliseconds>(poll_wait);
@@ -348,7 +350,7 @@
     return request;
 }
 
-bool sync_client::take_configuration(
+bool sync_client::apply_configuration(
     const messages::sync_reply& reply, time_point sent_at)
 {
     // A process that starts runs nothing rather than what may be older than
@@ -358,7 +360,7 @@
         return false;
     }
     confirmed_ = true;
-    auto& shared = here_.shared;
+    auto& shared = worker_.shared;
     if (shared.configuration.accept(reply.delta()))
     {
         log_event(
@@ -367,24 +369,24 @@
     }
     const std::chrono::milliseconds after(reply.current_after_ms());
     const auto current_at = sent_at + after;
-    opinions_.advance_current_at(current_at);
-    return host_clock().now() - current_at <= oldest_taken;
+    hedges_.advance_current_at(current_at);
+    return host_clock().now() - current_at <= max_accepted_age;
 }
 
-void sync_client::take_members(
+void sync_client::apply_members(
     const messages::sync_request& request, const messages::sync_reply& reply)
 {
-    take_control_hosts(reply);
-    view_.apply(reply);
+    apply_control_hosts(reply);
+    upstreams_.apply(reply);
     update_routes();
-    const bool has_more = here_.shared.crashes.on_reply(request, reply);
+    const bool has_more = worker_.shared.crashes.on_reply(request, reply);
     if (has_more)
     {
         sync_now();
     }
 }
 
-void sync_client::take_control_hosts(const messages::sync_reply& reply)
+void sync_client::apply_control_hosts(const messages::sync_reply& reply)
 {
     std::vector<control_host> hosts;
     std::vector<endpoint> addresses;
@@ -406,7 +408,7 @@
     {
         leaders.push_back(parse_endpoint(leader));
     }
-    here_.shared.claims.update(std::move(leaders), std::move(addresses));
+    worker_.shared.claims.update(std::move(leaders), std::move(addresses));
     if (!hosts.empty())
     {
         schedule_.set_hosts(hosts);
@@ -417,26 +419,26 @@
 void sync_client::update_routes()
 {
     messages::sync_request subscribed;
-    view_.fill_request(subscribed);
+    upstreams_.fill_request(subscribed);
     for (const auto& service : subscribed.services())
     {
         std::vector<messages::upstream_record> records;
-        for (const auto* record : view_.subset(service_name(service)))
+        for (const auto* record : upstreams_.subset(service_name(service)))
         {
             records.push_back(*record);
         }
-        here_.shared.routes.update(service_name(service), records);
+        worker_.shared.routes.update(service_name(service), records);
     }
 }
 
-void sync_client::note_reached(const std::string& address, bool reached)
+void sync_client::record_reached(const std::string& address, bool reached)
 {
     const std::scoped_lock lock(mutex_);
     control_address_ = address;
     if (reached)
     {
         last_reply_ = host_clock().now();
-        note_source(address);
+        record_source(address);
     }
     if (reached_ != reached)
     {
@@ -447,7 +449,7 @@
     }
 }
 
-void sync_client::note_source(const std::string& address)
+void sync_client::record_source(const std::string& address)
 {
     if (!source_.empty() && source_ != address)
     {
@@ -463,14 +465,15 @@
     const std::scoped_lock lock(mutex_);
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
         host_clock().now() - last_reply_);
-    const auto known = std::chrono::duration_cast<std::chrono::milliseconds>(
-        host_clock().now() - current_at_);
-    const bool knows = current_at_ > time_point();
+    const auto current_age =
+        std::chrono::duration_cast<std::chrono::milliseconds>(
+            host_clock().now() - current_at_);
+    const bool has_current_at = current_at_ > time_point();
     return boost::json::object{
         {"control_host", control_address_},
         {"reached", reached_},
         {"last_reply_ms_ago", reached_ ? age.count() : -1},
-        {"known_current_ms_ago", knows ? known.count() : -1}};
+        {"known_current_ms_ago", has_current_at ? current_age.count() : -1}};
 }
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/sync_client.hpp
+++ b/nutmegusher/node/sync_client.hpp
@@ -29,14 +29,14 @@
 class sync_client
 {
 public:
-    // Runs on the worker `here`, which must outlive it.
-    explicit sync_client(worker& here);
+    // Runs on the worker `owner`, which must outlive it.
+    explicit sync_client(worker& owner);
 
     // Syncs until `stop`. A daemon without control serves on with what it has.
     asio::awaitable<void> run();
 
     // Asks others when what is known here is old, until `stop`.
-    asio::awaitable<void> watch_age();
+    asio::awaitable<void> monitor_age();
 
     // Ends the running poll, so that news of this daemon go out now. On the
     // worker's thread.
@@ -57,7 +57,7 @@
     using session_pointer = std::shared_ptr<wire::client_session>;
 
     asio::awaitable<void> sync_with(const control_host& target);
-    asio::awaitable<void> ask_other(control_host target);
+    asio::awaitable<void> send_hedge(control_host target);
     // Null where there is none.
     asio::awaitable<session_pointer> session_with(endpoint at);
     // The stream is in `open` while the answer is waited for.
@@ -70,35 +70,35 @@
     // False where the reply's sender doesn't know what is current. The first
     // one is taken only where a majority has confirmed it.
     bool
-    take_configuration(const messages::sync_reply& reply, time_point sent_at);
-    void take_members(
+    apply_configuration(const messages::sync_reply& reply, time_point sent_at);
+    void apply_members(
         const messages::sync_request& request,
         const messages::sync_reply& reply);
-    void leave_poll();
-    void note_age();
+    void abandon_poll();
+    void update_age();
     // Some control host has told up to when it is current.
-    [[nodiscard]] bool knows_something() const;
-    void take_control_hosts(const messages::sync_reply& reply);
+    [[nodiscard]] bool is_age_known() const;
+    void apply_control_hosts(const messages::sync_reply& reply);
     void update_routes();
-    void note_reached(const std::string& address, bool reached);
-    void note_source(const std::string& address);
+    void record_reached(const std::string& address, bool reached);
+    void record_source(const std::string& address);
 
-    worker& here_;
-    upstream_view view_;
+    worker& worker_;
+    upstream_view upstreams_;
     sync_schedule schedule_;
-    hedge_schedule opinions_;
-    lag_watch age_watch_;
-    asio::steady_timer wake_;
+    hedge_schedule hedges_;
+    lag_watch age_monitor_;
+    asio::steady_timer poll_timer_;
     asio::steady_timer age_timer_;
     std::unique_ptr<wire::client_stream> poll_;
     bool confirmed_ = false;
     bool stopped_ = false;
     // Set while something changed that the control host wasn't told yet.
-    bool news_ = true;
+    bool has_unsent_changes_ = true;
     // A poll's exchange is under way, and whether its answer still counts.
     bool polling_ = false;
-    bool poll_left_ = false;
-    std::size_t others_asked_ = 0;
+    bool poll_abandoned_ = false;
+    std::size_t hedges_in_flight_ = 0;
 
     // For the dump.
     mutable std::mutex mutex_;
--- a/nutmegusher/node/sync_client_test.cpp
+++ b/nutmegusher/node/sync_client_test.cpp
@@ -58,7 +58,7 @@
     return {};
 }
 
-class control_hosts_as_told : public testing::Test
+class scripted_control_hosts : public testing::Test
 {
 protected:
     using stream_pointer = std::shared_ptr<wire::server_stream>;
@@ -87,10 +87,11 @@
             made.control_hosts.push_back(listening->local_endpoint());
         }
         shared_.emplace(made, incarnation(1));
-        here_.emplace(*shared_, 0);
-        client_.emplace(*here_);
-        asio::co_spawn(here_->context, client_->run(), asio::detached);
-        asio::co_spawn(here_->context, client_->watch_age(), asio::detached);
+        worker_.emplace(*shared_, 0);
+        client_.emplace(*worker_);
+        asio::co_spawn(worker_->context, client_->run(), asio::detached);
+        asio::co_spawn(
+            worker_->context, client_->monitor_age(), asio::detached);
     }
 
     // False where it didn't come about.
@@ -101,8 +102,8 @@
         {
             context_.run_for(milliseconds(1));
             context_.restart();
-            here_->context.run_for(milliseconds(1));
-            here_->context.restart();
+            worker_->context.run_for(milliseconds(1));
+            worker_->context.restart();
         }
         return done();
     }
@@ -110,10 +111,10 @@
     // What was heard of the upstream on the daemon's host.
     void announce()
     {
-        announcement said;
-        said.service = service_name("members");
-        said.state = messages::upstream_serving;
-        shared_->upstream.announce(said, host_clock().now());
+        announcement message;
+        message.service = service_name("members");
+        message.state = messages::upstream_serving;
+        shared_->upstream.announce(message, host_clock().now());
         client_->sync_now();
     }
 
@@ -131,7 +132,7 @@
         return acceptor;
     }
 
-    [[nodiscard]] std::uint64_t runs() const
+    [[nodiscard]] std::uint64_t running_revision() const
     {
         return shared_->configuration.current()->at().value();
     }
@@ -163,15 +164,16 @@
     asio::awaitable<void> serve_one(std::size_t number, stream_pointer stream)
     {
         std::string text;
-        std::array<std::byte, 4096> piece;
+        std::array<std::byte, 4096> chunk;
         while (true)
         {
-            const auto got = co_await stream->read_some(piece);
-            if (!got || *got == 0)
+            const auto read_size = co_await stream->read_some(chunk);
+            if (!read_size || *read_size == 0)
             {
                 break;
             }
-            text.append(reinterpret_cast<const char*>(piece.data()), *got);
+            text.append(
+                reinterpret_cast<const char*>(chunk.data()), *read_size);
         }
         messages::sync_request request;
         EXPECT_TRUE(request.ParseFromString(text));
@@ -182,14 +184,14 @@
     script answer_;
     std::deque<std::unique_ptr<wire::server>> servers_;
     std::optional<controllers> shared_;
-    std::optional<worker> here_;
+    std::optional<worker> worker_;
     std::optional<sync_client> client_;
 };
 
 // Many daemons start at once beside one control host, and each gets a whole
 // configuration: it takes longer than an answer without news may, and was given
 // up and begun again each time.
-TEST_F(control_hosts_as_told, an_answer_that_arrives_slowly_is_taken)
+TEST_F(scripted_control_hosts, an_answer_that_arrives_slowly_is_taken)
 {
     std::size_t asked = 0;
     const auto answer = [&asked, this](
@@ -214,14 +216,14 @@
     EXPECT_TRUE(run_until(
         [this]
         {
-            return runs() == 7;
+            return running_revision() == 7;
         }));
     EXPECT_EQ(asked, 1U);
 }
 
 // The control host that holds the poll goes silent, or its answer is lost, and
 // another one knows a newer configuration.
-TEST_F(control_hosts_as_told, a_daemon_asks_another_one_before_its_poll_ends)
+TEST_F(scripted_control_hosts, a_daemon_asks_another_one_before_its_poll_ends)
 {
     std::optional<std::size_t> silent;
     time_point silent_since;
@@ -248,7 +250,7 @@
     EXPECT_TRUE(run_until(
         [this]
         {
-            return runs() == 2;
+            return running_revision() == 2;
         }));
     // The poll's own time, after which it would have asked elsewhere anyway.
     EXPECT_LT(host_clock().now() - silent_since, milliseconds(2500));
@@ -256,7 +258,7 @@
 
 // All control hosts and the daemon start together; the hosts replay their logs
 // before they know what is current. The daemon ran revision 9 before.
-TEST_F(control_hosts_as_told, a_daemon_that_starts_takes_nothing_old)
+TEST_F(scripted_control_hosts, a_daemon_that_starts_takes_nothing_old)
 {
     std::size_t asked = 0;
     std::uint64_t oldest_run = 9;
@@ -275,16 +277,17 @@
     EXPECT_TRUE(run_until(
         [&]
         {
-            oldest_run =
-                runs() == 0 ? oldest_run : std::min(oldest_run, runs());
-            return runs() == 9;
+            oldest_run = running_revision() == 0
+                             ? oldest_run
+                             : std::min(oldest_run, running_revision());
+            return running_revision() == 9;
         }));
     EXPECT_EQ(oldest_run, 9U);
     EXPECT_GT(asked, 5U);
 }
 
 // Its host answers all the while, and says that it isn't current.
-TEST_F(control_hosts_as_told, a_daemon_leaves_one_that_is_behind)
+TEST_F(scripted_control_hosts, a_daemon_leaves_one_that_is_behind)
 {
     std::optional<std::size_t> behind;
     const auto answer = [&](std::size_t number,
@@ -301,13 +304,13 @@
     EXPECT_TRUE(run_until(
         [this]
         {
-            return runs() == 2;
+            return running_revision() == 2;
         }));
 }
 
 // News of the upstream come while the session is opened: a poll without them is
 // held.
-TEST_F(control_hosts_as_told, the_poll_tells_what_happened_while_it_connected)
+TEST_F(scripted_control_hosts, the_poll_tells_what_happened_while_it_connected)
 {
     std::size_t held = 0;
     const auto answer = [&](std::size_t,
@@ -349,10 +352,11 @@
     ASSERT_TRUE(run_until(
         [&]
         {
-            std::array<char, 4096> piece{};
+            std::array<char, 4096> chunk{};
             boost::system::error_code failed;
-            const auto got = session.read_some(asio::buffer(piece), failed);
-            sent.append(piece.data(), got);
+            const auto read_size =
+                session.read_some(asio::buffer(chunk), failed);
+            sent.append(chunk.data(), read_size);
             return request.ParseFromString(first_body(sent)) &&
                    !request.host().empty();
         }));
--- a/nutmegusher/node/sync_server.cpp
+++ b/nutmegusher/node/sync_server.cpp
@@ -23,31 +23,31 @@
 // Between two exchanges with one other control host: a new upstream is known
 // everywhere within twice of it.
 constexpr duration exchange_interval = std::chrono::milliseconds(100);
-constexpr duration exchange_limit = std::chrono::milliseconds(500);
+constexpr duration exchange_timeout = std::chrono::milliseconds(500);
 // The clock has moved on by then.
-constexpr duration clock_grain = std::chrono::milliseconds(1);
-constexpr std::size_t piece_bytes = 16384;
-constexpr std::size_t most_request_bytes = 1024 * 1024;
+constexpr duration clock_resolution = std::chrono::milliseconds(1);
+constexpr std::size_t chunk_bytes = 16384;
+constexpr std::size_t max_request_bytes = 1024 * 1024;
 // A daemon can't make a control host hold its sync for longer.
-constexpr duration longest_wait = std::chrono::seconds(5);
+constexpr duration max_wait = std::chrono::seconds(5);
 
 asio::awaitable<std::optional<std::string>>
 read_all(wire::server_stream& stream)
 {
     std::string text;
-    std::array<std::byte, piece_bytes> piece;
-    while (text.size() <= most_request_bytes)
+    std::array<std::byte, chunk_bytes> chunk;
+    while (text.size() <= max_request_bytes)
     {
-        const auto got = co_await stream.read_some(piece);
-        if (!got)
+        const auto read_size = co_await stream.read_some(chunk);
+        if (!read_size)
         {
             co_return std::nullopt;
         }
-        if (*got == 0)
+        if (*read_size == 0)
         {
             co_return text;
         }
-        text.append(reinterpret_cast<const char*>(piece.data()), *got);
+        text.append(reinterpret_cast<const char*>(chunk.data()), *read_size);
     }
     co_return std::nullopt;
 }
@@ -64,7 +64,7 @@
     }
 }
 
-asio::awaitable<void> refuse(wire::server_stream& stream)
+asio::awaitable<void> send_bad_request(wire::server_stream& stream)
 {
     wire::response_head head{400, {}};
     co_await stream.write_head(std::move(head), true);
@@ -121,26 +121,27 @@
     const auto body = co_await read_all(*stream);
     if (!body)
     {
-        co_await refuse(*stream);
+        co_await send_bad_request(*stream);
         co_return;
     }
     if (stream->head().path == "/control/registry")
     {
-        messages::registry_exchange asked;
-        if (!asked.ParseFromString(*body))
+        messages::registry_exchange registry_request;
+        if (!registry_request.ParseFromString(*body))
         {
-            co_await refuse(*stream);
+            co_await send_bad_request(*stream);
             co_return;
         }
         std::string reply;
         {
             const std::scoped_lock lock(mutex_);
             const auto now = host_clock().now();
-            auto update = registry_.update(now, asked);
-            const bool knows = asked.crash_epoch() == crash_epoch_;
+            auto update = registry_.update(now, registry_request);
+            const bool is_same_run =
+                registry_request.crash_epoch() == crash_epoch_;
             add_records(
                 crashes_,
-                knows ? asked.known_crash_stamp() : 0,
+                is_same_run ? registry_request.known_crash_stamp() : 0,
                 {},
                 now,
                 *update.mutable_crashes());
@@ -154,7 +155,7 @@
     messages::sync_request request;
     if (!request.ParseFromString(*body) || request.host().empty())
     {
-        co_await refuse(*stream);
+        co_await send_bad_request(*stream);
         co_return;
     }
     const auto reply = co_await answer(std::move(request));
@@ -179,7 +180,7 @@
                 registry_.known_incarnation(request.host()));
         }
         changed = registry_.counts().stamp != before;
-        changed = take_crashes(request.crashes()) || changed;
+        changed = merge_crashes(request.crashes()) || changed;
     }
     if (!reply.accepted())
     {
@@ -191,13 +192,13 @@
     }
     // Who can't be sure says so at once: a daemon that starts has others to
     // ask.
-    const bool may_confirm = request.linearizable() && !is_old(arrived);
+    const bool may_confirm = request.linearizable() && !is_stale(arrived);
     if (may_confirm)
     {
         reply.set_linearizable(co_await source_.confirm());
     }
     const duration wait = std::chrono::milliseconds(request.wait_ms());
-    const auto until = host_clock().now() + std::min(wait, longest_wait);
+    const auto until = host_clock().now() + std::min(wait, max_wait);
     co_await wait_for_news(request, until);
     // Before the delta is made, which may then hold more and never less.
     const auto confirmed = reply.linearizable() ? arrived : time_point();
@@ -217,7 +218,7 @@
     }
     const std::scoped_lock lock(mutex_);
     registry_.answer(request, reply);
-    answer_crashes(request, reply);
+    add_crashes(request, reply);
     co_return reply;
 }
 
@@ -245,11 +246,11 @@
         return false;
     }
     messages::sync_reply reply;
-    answer_crashes(request, reply);
+    add_crashes(request, reply);
     return reply.crashes_size() > 0;
 }
 
-void sync_server::answer_crashes(
+void sync_server::add_crashes(
     const messages::sync_request& request, messages::sync_reply& reply) const
 {
     const auto services = crash_services(request);
@@ -263,23 +264,23 @@
     reply.set_crash_stamp(crashes_.stamp());
 }
 
-bool sync_server::take_crashes(
-    const google::protobuf::RepeatedPtrField<messages::crash_record>& told)
+bool sync_server::merge_crashes(
+    const google::protobuf::RepeatedPtrField<messages::crash_record>& records)
 {
     const auto now = host_clock().now();
     bool changed = false;
-    for (const auto& each : told)
+    for (const auto& each : records)
     {
         changed = crashes_.merge(from_message(each, now), now) || changed;
     }
     if (changed)
     {
-        keep_crashes();
+        persist_crashes();
     }
     return changed;
 }
 
-void sync_server::keep_crashes()
+void sync_server::persist_crashes()
 {
     auto records = crashes_.quarantined(host_clock().now());
     std::set<std::uint64_t> digests;
@@ -287,33 +288,33 @@
     {
         digests.insert(each.digest);
     }
-    if (digests != kept_crashes_)
+    if (digests != persisted_digests_)
     {
-        kept_crashes_ = std::move(digests);
-        source_.keep_crashes(std::move(records));
+        persisted_digests_ = std::move(digests);
+        source_.persist_crashes(std::move(records));
     }
 }
 
-void sync_server::restore(std::span<const crash_record> kept)
+void sync_server::restore(std::span<const crash_record> persisted)
 {
     const auto now = host_clock().now();
     const std::scoped_lock lock(mutex_);
-    for (const auto& each : kept)
+    for (const auto& each : persisted)
     {
         crashes_.merge(each, now);
-        kept_crashes_.insert(each.digest);
+        persisted_digests_.insert(each.digest);
     }
 }
 
-bool sync_server::is_old(time_point now) const
+bool sync_server::is_stale(time_point now) const
 {
-    return now - source_.known_current_at() > oldest_held;
+    return now - source_.known_current_at() > max_hold_age;
 }
 
 bool sync_server::has_news(const messages::sync_request& request) const
 {
     const revision known(request.configuration_revision());
-    if (source_.present() > known || is_old(host_clock().now()))
+    if (source_.present() > known || is_stale(host_clock().now()))
     {
         return true;
     }
@@ -324,19 +325,19 @@
 asio::awaitable<void> sync_server::wait_for_news(
     const messages::sync_request& request, time_point until)
 {
-    const auto mine =
+    const auto own_waiter =
         std::make_shared<waiter>(co_await asio::this_coro::executor);
     {
         const std::scoped_lock lock(mutex_);
-        waiters_.push_back(mine);
+        waiters_.push_back(own_waiter);
     }
     while (host_clock().now() < until && !has_news(request))
     {
         // A sync isn't held on knowledge that has become old meanwhile.
         const auto old_at =
-            source_.known_current_at() + oldest_held + clock_grain;
-        mine->timer.expires_at(std::min(until, old_at));
-        co_await mine->timer.async_wait(as_tuple_awaitable);
+            source_.known_current_at() + max_hold_age + clock_resolution;
+        own_waiter->timer.expires_at(std::min(until, old_at));
+        co_await own_waiter->timer.async_wait(as_tuple_awaitable);
     }
 }
 
@@ -414,18 +415,18 @@
     std::string body;
     {
         const std::scoped_lock lock(mutex_);
-        auto asked = registry_.exchange(host_id(other.host()));
+        auto registry_request = registry_.exchange(host_id(other.host()));
         const auto& position = crash_positions_[other.host()];
-        asked.set_crash_epoch(position.epoch);
-        asked.set_known_crash_stamp(position.stamp);
-        body = asked.SerializeAsString();
+        registry_request.set_crash_epoch(position.epoch);
+        registry_request.set_known_crash_stamp(position.stamp);
+        body = registry_request.SerializeAsString();
     }
     outcome<std::string, wire::stream_failure> answer =
         wire::stream_failure::not_connected;
     if (at)
     {
         answer = co_await wire::call(
-            peers, *at, "/control/registry", body, exchange_limit);
+            peers, *at, "/control/registry", body, exchange_timeout);
     }
     end_exchange(other.host());
     messages::registry_update update;
@@ -439,7 +440,7 @@
         const auto before = registry_.counts().stamp;
         registry_.apply(host_clock().now(), host_id(other.host()), update);
         changed = registry_.counts().stamp != before;
-        changed = take_crashes(update.crashes()) || changed;
+        changed = merge_crashes(update.crashes()) || changed;
         crash_positions_[other.host()] = {
             update.crash_epoch(), update.crash_stamp()};
     }
@@ -472,7 +473,7 @@
         {
             return false;
         }
-        keep_crashes();
+        persist_crashes();
     }
     notify();
     return true;
--- a/nutmegusher/node/sync_server.hpp
+++ b/nutmegusher/node/sync_server.hpp
@@ -5,7 +5,7 @@
 
 #include "nutmegusher/base/base.hpp"
 #include "nutmegusher/membership/membership.hpp"
-#include "nutmegusher/node/crash_watch.hpp"
+#include "nutmegusher/node/crash_tracker.hpp"
 #include "nutmegusher/node/settings.hpp"
 #include "nutmegusher/wire/wire.hpp"
 
@@ -42,7 +42,7 @@
     // its clock.
     std::function<time_point()> known_current_at;
     // Keeps the requests in quarantine beyond this run.
-    std::function<void(std::vector<crash_record>)> keep_crashes =
+    std::function<void(std::vector<crash_record>)> persist_crashes =
         [](const std::vector<crash_record>&) {};
 };
 
@@ -53,7 +53,7 @@
 // disks and 0.4 s more where votes were split. A change that others accept
 // meanwhile is due at its daemons 2 s after, so these must have moved long
 // before.
-inline constexpr duration oldest_held = std::chrono::milliseconds(700);
+inline constexpr duration max_hold_age = std::chrono::milliseconds(700);
 
 // Safe from every thread.
 class sync_server
@@ -78,9 +78,9 @@
     void stop();
 
     // What was kept by an earlier run.
-    void restore(std::span<const crash_record> kept);
+    void restore(std::span<const crash_record> persisted);
 
-    // See `crash_watch`.
+    // See `crash_tracker`.
     [[nodiscard]] std::vector<crash_record> quarantined() const;
     bool release(std::uint64_t digest);
 
@@ -95,7 +95,7 @@
     asio::awaitable<void>
     wait_for_news(const messages::sync_request& request, time_point until);
     [[nodiscard]] bool has_news(const messages::sync_request& request) const;
-    [[nodiscard]] bool is_old(time_point now) const;
+    [[nodiscard]] bool is_stale(time_point now) const;
     asio::awaitable<void>
     exchange_with(wire::session_pool& peers, messages::control_host other);
     // False where an exchange with that host is still under way.
@@ -109,13 +109,14 @@
     known_crash_stamp(const messages::sync_request& request) const;
     [[nodiscard]] bool
     has_crash_news(const messages::sync_request& request) const;
-    void answer_crashes(
+    void add_crashes(
         const messages::sync_request& request,
         messages::sync_reply& reply) const;
-    void keep_crashes();
+    void persist_crashes();
     // True: something of it was new.
-    bool take_crashes(
-        const google::protobuf::RepeatedPtrField<messages::crash_record>& told);
+    bool merge_crashes(
+        const google::protobuf::RepeatedPtrField<messages::crash_record>&
+            records);
 
     // What another control host has told of crashes.
     struct crash_position
@@ -134,7 +135,7 @@
     std::set<std::string> exchanging_;
     crash_evidence crashes_;
     // Those that were kept last.
-    std::set<std::uint64_t> kept_crashes_;
+    std::set<std::uint64_t> persisted_digests_;
     std::map<std::string, crash_position> crash_positions_;
     bool stopped_ = false;
 };
--- a/nutmegusher/node/sync_server_test.cpp
+++ b/nutmegusher/node/sync_server_test.cpp
@@ -15,7 +15,7 @@
 {
 
 // As long as a control host holds a sync at most.
-constexpr std::chrono::seconds hold{5};
+constexpr std::chrono::seconds max_hold{5};
 
 // A control host's sync on a listener, without replicated logs.
 class held_sync : public testing::Test
@@ -70,7 +70,7 @@
         };
         made.known_current_at = [this]
         {
-            const duration age(age_now.load());
+            const duration age(configuration_age.load());
             return host_clock().now() - age;
         };
         return made;
@@ -91,7 +91,7 @@
         request.set_incarnation(1);
         request.set_known_stamp(known.stamp());
         request.set_registry_epoch(known.registry_epoch());
-        request.set_wait_ms(std::chrono::milliseconds(hold).count());
+        request.set_wait_ms(std::chrono::milliseconds(max_hold).count());
         co_return co_await send(std::move(request));
     }
 
@@ -104,7 +104,7 @@
             listening->local_endpoint(),
             "/control/sync",
             body,
-            2 * hold);
+            2 * max_hold);
         messages::sync_reply reply;
         if (!text || !reply.ParseFromString(*text))
         {
@@ -113,7 +113,7 @@
         co_return reply;
     }
 
-    std::atomic<duration::rep> age_now = 0;
+    std::atomic<duration::rep> configuration_age = 0;
     asio::io_context context{1};
     sync_server server;
     wire::session_pool sessions{context, wire::session_options()};
@@ -135,30 +135,30 @@
     ASSERT_EQ(
         held.wait_for(std::chrono::milliseconds(300)),
         std::future_status::timeout);
-    age_now = (2 * oldest_held).count();
-    ASSERT_EQ(held.wait_for(hold / 2), std::future_status::ready);
+    configuration_age = (2 * max_hold_age).count();
+    ASSERT_EQ(held.wait_for(max_hold / 2), std::future_status::ready);
     const auto reply = held.get();
     ASSERT_TRUE(reply);
     const duration before =
         std::chrono::milliseconds(-reply->current_after_ms());
-    EXPECT_GE(before, oldest_held - hold / 2);
+    EXPECT_GE(before, max_hold_age - max_hold / 2);
 }
 
 TEST_F(held_sync, is_answered_at_once_by_a_host_that_knows_nothing_current)
 {
     const auto first = sync({}).get();
     ASSERT_TRUE(first);
-    age_now = (3 * oldest_held).count();
+    configuration_age = (3 * max_hold_age).count();
     auto held = sync(*first);
-    ASSERT_EQ(held.wait_for(hold / 2), std::future_status::ready);
+    ASSERT_EQ(held.wait_for(max_hold / 2), std::future_status::ready);
     const auto reply = held.get();
     ASSERT_TRUE(reply);
     const duration after = std::chrono::milliseconds(reply->current_after_ms());
-    EXPECT_LE(after, -2 * oldest_held);
+    EXPECT_LE(after, -2 * max_hold_age);
 }
 
 // The age counts from the arrival of the request, not from the answer.
-TEST_F(held_sync, tells_up_to_when_its_host_is_current)
+TEST_F(held_sync, reports_up_to_when_its_host_is_current)
 {
     const auto first = sync({}).get();
     ASSERT_TRUE(first);
@@ -168,7 +168,7 @@
     ASSERT_TRUE(reply);
     EXPECT_GE(
         reply->current_after_ms(),
-        std::chrono::milliseconds(hold - std::chrono::seconds(1)).count());
+        std::chrono::milliseconds(max_hold - std::chrono::seconds(1)).count());
 }
 
 // A daemon that has seen an upstream end, and one that calls the service.
@@ -180,7 +180,7 @@
     reply_future exchange(
         const std::string& host,
         const std::string& service,
-        const crash_watch& watch)
+        const crash_tracker& watch)
     {
         messages::sync_request request;
         request.set_host(host);
@@ -188,18 +188,18 @@
         request.add_services(service);
         request.set_known_stamp(registry.stamp());
         request.set_registry_epoch(registry.registry_epoch());
-        request.set_wait_ms(std::chrono::milliseconds(hold).count());
-        watch.fill(request);
+        request.set_wait_ms(std::chrono::milliseconds(max_hold).count());
+        watch.fill_request(request);
         last_request = request;
         return asio::co_spawn(
             context, send(std::move(request)), asio::use_future);
     }
 
-    void see_end(crash_watch& watch, std::uint64_t upstream)
+    void simulate_crash(crash_tracker& watch, std::uint64_t upstream)
     {
         const auto run = watch.begin_run(digest);
-        watch.lose_run(run);
-        watch.on_upstream_ended(
+        watch.mark_run_lost(run);
+        watch.on_upstream_crashed(
             upstream, "i-" + std::to_string(upstream), service_name("views"));
     }
 
@@ -210,47 +210,47 @@
 
 TEST_F(crash_syncs, wake_the_daemons_that_call_the_service)
 {
-    crash_watch seeing;
-    crash_watch calling;
-    registry = exchange("d2", "views", calling).get().value();
-    calling.on_reply(last_request, registry);
-    auto held = exchange("d2", "views", calling);
+    crash_tracker observer;
+    crash_tracker caller;
+    registry = exchange("d2", "views", caller).get().value();
+    caller.on_reply(last_request, registry);
+    auto held = exchange("d2", "views", caller);
     const auto held_request = last_request;
     ASSERT_EQ(
         held.wait_for(std::chrono::milliseconds(200)),
         std::future_status::timeout);
-    see_end(seeing, 1);
-    auto told = exchange("d1", "views", seeing);
-    ASSERT_EQ(held.wait_for(hold / 2), std::future_status::ready);
-    calling.on_reply(held_request, held.get().value());
-    EXPECT_EQ(calling.assess(digest).ends, 1U);
-    told.wait();
+    simulate_crash(observer, 1);
+    auto report = exchange("d1", "views", observer);
+    ASSERT_EQ(held.wait_for(max_hold / 2), std::future_status::ready);
+    caller.on_reply(held_request, held.get().value());
+    EXPECT_EQ(caller.assess(digest).ends, 1U);
+    report.wait();
 }
 
 TEST_F(crash_syncs, tell_nothing_of_services_that_a_daemon_does_not_call)
 {
-    crash_watch seeing;
-    crash_watch calling;
-    see_end(seeing, 1);
-    exchange("d1", "views", seeing).wait();
-    registry = exchange("d2", "payouts", calling).get().value();
+    crash_tracker observer;
+    crash_tracker caller;
+    simulate_crash(observer, 1);
+    exchange("d1", "views", observer).wait();
+    registry = exchange("d2", "payouts", caller).get().value();
     EXPECT_EQ(registry.crashes_size(), 0);
-    calling.on_reply(last_request, registry);
+    caller.on_reply(last_request, registry);
     // It calls it from now on: what was told before matters too.
-    registry = exchange("d2", "views", calling).get().value();
+    registry = exchange("d2", "views", caller).get().value();
     EXPECT_EQ(registry.crashes_size(), 1);
 }
 
 TEST_F(crash_syncs, tell_a_daemon_that_starts)
 {
-    crash_watch seeing;
+    crash_tracker observer;
     for (std::uint64_t upstream = 1; upstream <= 3; ++upstream)
     {
         std::this_thread::sleep_for(std::chrono::milliseconds(150));
-        see_end(seeing, upstream);
+        simulate_crash(observer, upstream);
     }
-    exchange("d1", "views", seeing).wait();
-    crash_watch started;
+    exchange("d1", "views", observer).wait();
+    crash_tracker started;
     registry = exchange("d2", "views", started).get().value();
     started.on_reply(last_request, registry);
     EXPECT_EQ(started.assess(digest).suspicion, crash_suspicion::quarantined);
--- a/nutmegusher/node/worker.hpp
+++ b/nutmegusher/node/worker.hpp
@@ -7,7 +7,7 @@
 #include "nutmegusher/node/admission_gate.hpp"
 #include "nutmegusher/node/claim_client.hpp"
 #include "nutmegusher/node/configuration_controller.hpp"
-#include "nutmegusher/node/crash_watch.hpp"
+#include "nutmegusher/node/crash_tracker.hpp"
 #include "nutmegusher/node/metrics.hpp"
 #include "nutmegusher/node/own_upstream.hpp"
 #include "nutmegusher/node/pressure_controller.hpp"
@@ -43,7 +43,7 @@
     pressure_controller pressure;
     route_controller routes;
     claim_directory claims;
-    crash_watch crashes;
+    crash_tracker crashes;
     metrics measured;
     // A graceful shutdown has begun.
     std::atomic<bool> stopping = false;
--- a/nutmegusher/routed/entry.cpp
+++ b/nutmegusher/routed/entry.cpp
@@ -75,7 +75,7 @@
 class suspect_guard
 {
 public:
-    suspect_guard(node::crash_watch& crashes, std::uint64_t digest)
+    suspect_guard(node::crash_tracker& crashes, std::uint64_t digest)
         : crashes_(crashes)
         , digest_(digest)
     {
@@ -114,7 +114,7 @@
     }
 
 private:
-    node::crash_watch& crashes_;
+    node::crash_tracker& crashes_;
     std::uint64_t digest_;
     bool is_registered_ = false;
     duration retry_after_{0};
@@ -608,7 +608,7 @@
         sent_tries_ += failed.sent ? 1 : 0;
         if (failed.crashed)
         {
-            state_.process.crashes.note_end(
+            state_.process.crashes.record_crash(
                 call_.metadata.digest,
                 failed.crashed->upstream,
                 failed.crashed->ran_for,
--- a/nutmegusher/routed/upstream_side.cpp
+++ b/nutmegusher/routed/upstream_side.cpp
@@ -101,7 +101,7 @@
 class watched_run
 {
 public:
-    watched_run(node::crash_watch& crashes, std::uint64_t digest)
+    watched_run(node::crash_tracker& crashes, std::uint64_t digest)
         : crashes_(crashes)
         , digest_(digest)
         , started_at_(host_clock().now())
@@ -116,7 +116,7 @@
     {
         if (!finished_)
         {
-            crashes_.leave_run(ticket_);
+            crashes_.discard_run(ticket_);
         }
     }
 
@@ -133,7 +133,7 @@
     {
         if (!std::exchange(finished_, true))
         {
-            crashes_.lose_run(ticket_);
+            crashes_.mark_run_lost(ticket_);
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
 private:
-    node::crash_watch& crashes_;
+    node::crash_tracker& crashes_;
     std::uint64_t digest_;
     time_point started_at_;
     in_flight_requests::ticket ticket_;
@@ -370,7 +370,7 @@
         auto& crashes = state_.process.crashes;
         const crashed_upstream crashed{
             stable_hash(to.id, to.order.started), ran_for};
-        crashes.on_upstream_ended(crashed.upstream, to.id, to.service);
+        crashes.on_upstream_crashed(crashed.upstream, to.id, to.service);
         state_.mark_unreachable(to.id);
         const bool is_suspected =
             crashes.assess(call_.metadata.digest).ends > 0;
