--- a/nutmegusher/node/admission_gate.cpp
+++ b/nutmegusher/node/admission_gate.cpp
@@ -12,7 +12,7 @@
 
 // Ticks come every 20 ms at most. A longer gap is a pause of this process;
 // shorter ones are scheduling, as for a stall of the upstream.
-constexpr duration longest_tick_gap = std::chrono::milliseconds(50);
+constexpr duration max_tick_gap = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -37,45 +37,45 @@
         co_return admitted();
     }
     auto executor = co_await asio::this_coro::executor;
-    std::shared_ptr<waiting_calls::waiter> mine;
+    std::shared_ptr<waiting_calls::waiter> own_waiter;
     {
         const std::scoped_lock lock(mutex_);
         const auto now = host_clock().now();
-        note_time(now);
-        const auto at = controller_.arrive(call, now);
-        waiting_.deliver(at.outcomes);
-        if (const auto* no = std::get_if<refused>(&at.verdict))
+        detect_pause(now);
+        const auto arrival = controller_.arrive(call, now);
+        waiting_.deliver(arrival.outcomes);
+        if (const auto* rejection = std::get_if<refused>(&arrival.verdict))
         {
-            co_return *no;
+            co_return *rejection;
         }
-        if (std::holds_alternative<admitted>(at.verdict))
+        if (std::holds_alternative<admitted>(arrival.verdict))
         {
-            note_running(call);
+            record_running(call);
             co_return admitted();
         }
-        mine = waiting_.add(call.ticket, executor);
+        own_waiter = waiting_.add(call.ticket, executor);
     }
-    const auto verdict = co_await waiting_calls::wait(mine);
+    const auto verdict = co_await waiting_calls::wait(own_waiter);
     if (std::holds_alternative<admitted>(*verdict))
     {
         const std::scoped_lock lock(mutex_);
-        note_running(call);
+        record_running(call);
     }
     co_return *verdict;
 }
 
 // What waited in the sockets during a pause is handled before the timer's tick,
 // so each event looks for itself.
-void admission_gate::note_time(time_point now)
+void admission_gate::detect_pause(time_point now)
 {
-    if (ticked_at_ && now - *ticked_at_ > longest_tick_gap)
+    if (last_tick_ && now - *last_tick_ > max_tick_gap)
     {
         controller_.on_pause(now);
-        ticked_at_ = now;
+        last_tick_ = now;
     }
 }
 
-void admission_gate::note_running(const call_info& call)
+void admission_gate::record_running(const call_info& call)
 {
     running_[call.request] = {call.ticket, false};
 }
@@ -97,16 +97,16 @@
     const auto found = running_.find(request);
     if (found != running_.end())
     {
-        found->second.refused_deeper |= refused_for_load;
+        found->second.sub_call_refused |= refused_for_load;
         controller_.sub_call_ended(found->second.ticket, host_clock().now());
     }
 }
 
-bool admission_gate::refused_deeper(std::uint64_t request) const
+bool admission_gate::sub_call_refused(std::uint64_t request) const
 {
     const std::scoped_lock lock(mutex_);
     const auto found = running_.find(request);
-    return found != running_.end() && found->second.refused_deeper;
+    return found != running_.end() && found->second.sub_call_refused;
 }
 
 void admission_gate::finish(const call_info& call, call_result result)
@@ -122,7 +122,7 @@
         running_.erase(found);
     }
     const auto now = host_clock().now();
-    note_time(now);
+    detect_pause(now);
     waiting_.deliver(controller_.finish(call.ticket, result, now));
 }
 
@@ -139,8 +139,8 @@
 {
     const std::scoped_lock lock(mutex_);
     const auto now = host_clock().now();
-    note_time(now);
-    ticked_at_ = now;
+    detect_pause(now);
+    last_tick_ = now;
     const auto due = controller_.next_event();
     if (due && *due <= now)
     {
--- a/nutmegusher/node/admission_gate.hpp
+++ b/nutmegusher/node/admission_gate.hpp
@@ -46,9 +46,9 @@
     void sub_call_ended(std::uint64_t request, bool refused_for_load);
 
     // Whether a sub-call of the running call was refused for overload.
-    [[nodiscard]] bool refused_deeper(std::uint64_t request) const;
+    [[nodiscard]] bool sub_call_refused(std::uint64_t request) const;
 
-    // The caller of a waiting call went away; its `enter` gives `gone`.
+    // The caller of a waiting call went away; its `enter` gives `caller_left`.
     void cancel(ticket_id ticket);
 
     // Does what is due by now; call it every few milliseconds.
@@ -64,11 +64,11 @@
     struct running_call
     {
         ticket_id ticket;
-        bool refused_deeper = false;
+        bool sub_call_refused = false;
     };
 
-    void note_running(const call_info& call);
-    void note_time(time_point now);
+    void record_running(const call_info& call);
+    void detect_pause(time_point now);
 
     const bool naive_;
     mutable std::mutex mutex_;
@@ -76,7 +76,7 @@
     std::uint64_t last_ticket_ = 0;
     waiting_calls waiting_;
     // The last tick; nothing before the first one.
-    std::optional<time_point> ticked_at_;
+    std::optional<time_point> last_tick_;
     // By the hash of the request id; of a request that calls itself in a
     // circle the last call counts.
     std::unordered_map<std::uint64_t, running_call> running_;
--- a/nutmegusher/node/call.cpp
+++ b/nutmegusher/node/call.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-constexpr std::size_t longest_token = 128;
+constexpr std::size_t max_token_length = 128;
 constexpr std::string_view own_prefix = "nutmeg-";
 // Above this a number of milliseconds is a mistake (a day).
-constexpr std::uint32_t most_milliseconds = 86400000;
+constexpr std::uint32_t max_milliseconds = 86400000;
 
 struct reason_text
 {
@@ -50,7 +50,7 @@
     reason_text{call_reason::cancelled, "cancelled", 499},
 };
 
-const reason_text& entry_of(call_reason reason)
+const reason_text& find_reason(call_reason reason)
 {
     const auto* const found = std::find_if(
         reasons.begin(),
@@ -93,7 +93,7 @@
 
 std::string_view to_string(call_reason reason)
 {
-    return entry_of(reason).text;
+    return find_reason(reason).text;
 }
 
 std::optional<call_outcome> parse_outcome(std::string_view text)
@@ -125,7 +125,7 @@
 
 unsigned status_of(call_reason reason)
 {
-    return entry_of(reason).status;
+    return find_reason(reason).status;
 }
 
 wire::response_head to_head(const refusal& refused)
@@ -138,12 +138,12 @@
     };
     add(field::outcome, to_string(refused.result));
     add(field::reason, to_string(refused.reason));
-    if (refused.come_back > duration::zero())
+    if (refused.retry_after > duration::zero())
     {
         const auto seconds =
-            std::chrono::ceil<std::chrono::seconds>(refused.come_back);
+            std::chrono::ceil<std::chrono::seconds>(refused.retry_after);
         add(field::retry_after, std::to_string(seconds.count()));
-        add(field::retry_after_ms, to_milliseconds(refused.come_back));
+        add(field::retry_after_ms, to_milliseconds(refused.retry_after));
     }
     return head;
 }
@@ -167,7 +167,7 @@
     if (const auto after =
             wire::find_header(head.fields, field::retry_after_ms))
     {
-        refused.come_back =
+        refused.retry_after =
             parse_milliseconds(*after).value_or(duration::zero());
     }
     return refused;
@@ -176,7 +176,7 @@
 std::optional<duration> parse_milliseconds(std::string_view text)
 {
     const auto value = parse_number<std::uint32_t>(text);
-    if (!value || *value > most_milliseconds)
+    if (!value || *value > max_milliseconds)
     {
         return std::nullopt;
     }
@@ -230,7 +230,7 @@
 
 bool is_token(std::string_view text)
 {
-    return !text.empty() && text.size() <= longest_token &&
+    return !text.empty() && text.size() <= max_token_length &&
            std::all_of(
                text.begin(),
                text.end(),
--- a/nutmegusher/node/call.hpp
+++ b/nutmegusher/node/call.hpp
@@ -82,7 +82,7 @@
 {
     call_reason reason = call_reason::overload;
     call_outcome result = call_outcome::not_run;
-    duration come_back{};
+    duration retry_after{};
 };
 
 // The head of the answer that says so.
--- a/nutmegusher/node/call_test.cpp
+++ b/nutmegusher/node/call_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-TEST(refusal, survives_its_headers)
+TEST(refusal, round_trips_through_its_headers)
 {
     const refusal refused{
         call_reason::overload,
@@ -16,14 +16,14 @@
     const auto head = to_head(refused);
     EXPECT_EQ(head.status, 503U);
     EXPECT_EQ(wire::find_header(head.fields, "retry-after"), "2");
-    const auto back = refusal_of(head);
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->reason, refused.reason);
-    EXPECT_EQ(back->result, refused.result);
-    EXPECT_EQ(back->come_back, refused.come_back);
+    const auto parsed = refusal_of(head);
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(parsed->reason, refused.reason);
+    EXPECT_EQ(parsed->result, refused.result);
+    EXPECT_EQ(parsed->retry_after, refused.retry_after);
 }
 
-TEST(refusal, an_answer_of_the_upstream_is_none)
+TEST(refusal, an_answer_of_the_upstream_is_not_a_refusal)
 {
     EXPECT_FALSE(refusal_of({503, {}}));
     EXPECT_FALSE(refusal_of(
@@ -33,17 +33,17 @@
          {{"nutmeg-outcome", "completed"}, {"nutmeg-reason", "overload"}}}));
 }
 
-TEST(attempt, survives_its_text)
+TEST(attempt, round_trips_through_its_text)
 {
     messages::attempt attempt;
     attempt.set_entry_host("a/b");
     attempt.set_entry_incarnation(7);
     attempt.set_sequence(9);
-    const auto back = parse_attempt(to_text(attempt));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->entry_host(), "a/b");
-    EXPECT_EQ(back->entry_incarnation(), 7U);
-    EXPECT_EQ(back->sequence(), 9U);
+    const auto parsed = parse_attempt(to_text(attempt));
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(parsed->entry_host(), "a/b");
+    EXPECT_EQ(parsed->entry_incarnation(), 7U);
+    EXPECT_EQ(parsed->sequence(), 9U);
 }
 
 TEST(attempt, malformed_text_is_refused)
--- a/nutmegusher/node/claim_client.cpp
+++ b/nutmegusher/node/claim_client.cpp
@@ -14,7 +14,7 @@
 
 // A commit takes milliseconds; a control host that takes longer is about to
 // lose its leadership, and another one will know the new leader.
-constexpr duration one_host_limit = std::chrono::milliseconds(400);
+constexpr duration per_host_timeout = std::chrono::milliseconds(400);
 // Between two rounds over all control hosts, while a leader is elected.
 constexpr duration round_pause = std::chrono::milliseconds(25);
 
@@ -90,8 +90,8 @@
     {
         for (const auto& host : directory.hosts_for(command.key()))
         {
-            const auto left = until - host_clock().now();
-            if (left <= duration::zero())
+            const auto remaining = until - host_clock().now();
+            if (remaining <= duration::zero())
             {
                 co_return std::nullopt;
             }
@@ -100,7 +100,7 @@
                 host,
                 "/control/claim",
                 body,
-                std::min(left, one_host_limit));
+                std::min(remaining, per_host_timeout));
             messages::claim_result result;
             if (answer && result.ParseFromString(*answer) &&
                 result.verdict() != messages::claim_unavailable &&
--- a/nutmegusher/node/claim_filter.cpp
+++ b/nutmegusher/node/claim_filter.cpp
@@ -11,27 +11,27 @@
 {
 
 // Outcomes with larger bodies are kept as a digest only.
-constexpr std::size_t most_stored_bytes = 16384;
+constexpr std::size_t max_stored_bytes = 16384;
 // Before a proposal whose fate is unknown is sent again.
-constexpr duration resend_pause = std::chrono::milliseconds(20);
+constexpr duration resend_delay = std::chrono::milliseconds(20);
 // One proposal's time; a change of leader fits into it.
-constexpr duration propose_limit = std::chrono::seconds(1);
+constexpr duration propose_timeout = std::chrono::seconds(1);
 
-messages::stored_answer to_stored(const whole_answer& whole)
+messages::stored_answer to_stored(const buffered_answer& buffered)
 {
     messages::stored_answer stored;
-    stored.set_status(whole.head.status);
-    for (const auto& item : whole.head.fields)
+    stored.set_status(buffered.head.status);
+    for (const auto& item : buffered.head.fields)
     {
         auto& header = *stored.add_headers();
         header.set_name(item.name);
         header.set_value(item.value);
     }
-    stored.set_body_size(whole.body.size());
-    stored.set_body_digest(stable_hash(whole.body));
-    if (whole.body.size() <= most_stored_bytes)
+    stored.set_body_size(buffered.body.size());
+    stored.set_body_digest(stable_hash(buffered.body));
+    if (buffered.body.size() <= max_stored_bytes)
     {
-        stored.set_body(whole.body);
+        stored.set_body(buffered.body);
     }
     else
     {
@@ -66,7 +66,7 @@
 }
 
 // When asking again may help: about the time that the class promises.
-duration come_back_of(const peer_call& call, outcome_reason reason)
+duration retry_after_of(const peer_call& call, outcome_reason reason)
 {
     if (reason == outcome_reason::key_reused)
     {
@@ -76,21 +76,21 @@
         std::chrono::milliseconds(100), call.time_left() / 2);
 }
 
-execution_request terms_of(const peer_call& call)
+execution_request make_execution_request(const peer_call& call)
 {
-    execution_request terms;
-    terms.key.set_customer(call.terms.customer.str());
-    terms.key.set_class_name(call.terms.work_class.str());
-    terms.key.set_idempotency_key(call.terms.key);
-    terms.by = call.terms.attempt;
-    terms.executor.set_host(call.here.shared.configured.host.id.str());
-    terms.executor.set_incarnation(call.here.shared.run.value());
+    execution_request request;
+    request.key.set_customer(call.metadata.customer.str());
+    request.key.set_class_name(call.metadata.work_class.str());
+    request.key.set_idempotency_key(call.metadata.key);
+    request.by = call.metadata.attempt;
+    request.executor.set_host(call.owner.shared.configured.host.id.str());
+    request.executor.set_incarnation(call.owner.shared.run.value());
     const auto& head = call.stream->head();
     request_digest digest(head.method, head.path);
     digest.update(call.body);
-    terms.request_digest = digest.value();
-    terms.deadline = call.terms.deadline;
-    return terms;
+    request.request_digest = digest.value();
+    request.deadline = call.metadata.deadline;
+    return request;
 }
 
 // Performs the steps of one guard until it has ended.
@@ -101,7 +101,7 @@
         peer_call& call, std::function<asio::awaitable<void>()> run)
         : call_(call)
         , run_(std::move(run))
-        , guard_(terms_of(call))
+        , guard_(make_execution_request(call))
     {
     }
 
@@ -112,7 +112,7 @@
         {
             if (step.report)
             {
-                co_await tell(*step.report);
+                co_await send_outcome(*step.report);
             }
             if (step.start_call)
             {
@@ -133,34 +133,34 @@
 private:
     asio::awaitable<guard_step> propose(messages::claim_command command)
     {
-        const auto asked = command.action_case();
+        const auto action = command.action_case();
         if (call_.cancelled->requested &&
-            asked == messages::claim_command::kStart)
+            action == messages::claim_command::kStart)
         {
             co_return guard_.cancel(
                 wall_milliseconds(), outcome_reason::cancelled);
         }
         // Like a sub-call, the time of a claim isn't the upstream's own.
-        auto& gate = call_.here.shared.admission;
-        const auto request = stable_hash(call_.terms.request.str());
+        auto& gate = call_.owner.shared.admission;
+        const auto request = stable_hash(call_.metadata.request.str());
         gate.sub_call_started(request);
         const auto result = co_await propose_claim(
-            call_.here.peers,
-            call_.here.shared.claims,
+            call_.owner.peers,
+            call_.owner.shared.claims,
             std::move(command),
-            propose_limit);
+            propose_timeout);
         gate.sub_call_ended(request, false);
         if (result)
         {
             co_return guard_.claim_replied(
-                host_clock().now(), wall_milliseconds(), asked, *result);
+                host_clock().now(), wall_milliseconds(), action, *result);
         }
         log_event(
             event::claim_unreachable,
-            {{"class", call_.terms.work_class.str()},
-             {"request", call_.terms.request.str()}});
+            {{"class", call_.metadata.work_class.str()},
+             {"request", call_.metadata.request.str()}});
         asio::steady_timer pause(co_await asio::this_coro::executor);
-        pause.expires_after(resend_pause);
+        pause.expires_after(resend_delay);
         co_await pause.async_wait(asio::use_awaitable);
         co_return guard_.claim_reply_lost(
             host_clock().now(), wall_milliseconds());
@@ -192,37 +192,37 @@
                wire::find_header(head.fields, field::not_run) == "true";
     }
 
-    asio::awaitable<void> tell(const reported_outcome& told)
+    asio::awaitable<void> send_outcome(const reported_outcome& reported)
     {
-        if (told.outcome == call_outcome::completed)
+        if (reported.outcome == call_outcome::completed)
         {
-            auto whole = told.answer ? from_stored(*told.answer)
-                                     : std::move(*call_.answer);
-            co_await call_.send(std::move(whole));
+            auto buffered = reported.answer ? from_stored(*reported.answer)
+                                            : std::move(*call_.answer);
+            co_await call_.send(std::move(buffered));
             co_return;
         }
         const refusal refused{
-            to_reason(told.reason),
-            told.outcome,
-            come_back_of(call_, told.reason)};
+            to_reason(reported.reason),
+            reported.outcome,
+            retry_after_of(call_, reported.reason)};
         co_await call_.refuse(refused);
     }
 
-    static whole_answer from_stored(const messages::stored_answer& stored)
+    static buffered_answer from_stored(const messages::stored_answer& stored)
     {
-        whole_answer whole;
-        whole.head.status = stored.status();
+        buffered_answer buffered;
+        buffered.head.status = stored.status();
         for (const auto& item : stored.headers())
         {
-            whole.head.fields.push_back({item.name(), item.value()});
+            buffered.head.fields.push_back({item.name(), item.value()});
         }
-        whole.head.fields.push_back({"nutmeg-repeated-answer", "true"});
+        buffered.head.fields.push_back({"nutmeg-repeated-answer", "true"});
         if (stored.body_dropped())
         {
-            whole.head.fields.push_back({"nutmeg-body-dropped", "true"});
+            buffered.head.fields.push_back({"nutmeg-body-dropped", "true"});
         }
-        whole.body = stored.body();
-        return whole;
+        buffered.body = stored.body();
+        return buffered;
     }
 
     peer_call& call_;
--- a/nutmegusher/node/claim_filter.hpp
+++ b/nutmegusher/node/claim_filter.hpp
@@ -17,7 +17,7 @@
     template <class Next>
     asio::awaitable<void> operator()(peer_call& call, Next next)
     {
-        if (call.terms.repeatable)
+        if (call.metadata.repeatable)
         {
             co_await next();
             co_return;
--- a/nutmegusher/node/daemon.cpp
+++ b/nutmegusher/node/daemon.cpp
@@ -314,7 +314,7 @@
         shared.admission.begin_warm_up();
     }
     shared.admission.set_leaving(!serves || shared.stopping);
-    shared.sync_soon();
+    shared.request_sync();
 }
 
 asio::awaitable<void> daemon::state::run_ticks()
--- a/nutmegusher/node/daemon_state.hpp
+++ b/nutmegusher/node/daemon_state.hpp
@@ -45,7 +45,7 @@
         }
         listening.resize(workers.size());
         sync = std::make_unique<sync_client>(first());
-        shared.sync_soon = [this]
+        shared.request_sync = [this]
         {
             asio::post(
                 first().context,
@@ -54,7 +54,7 @@
                     sync->sync_now();
                 });
         };
-        shared.crashes.on_news = shared.sync_soon;
+        shared.crashes.on_news = shared.request_sync;
     }
 
     // The worker that also does what is done once a process.
--- a/nutmegusher/node/entry_call.cpp
+++ b/nutmegusher/node/entry_call.cpp
@@ -8,19 +8,19 @@
 const class_name no_class("(none)");
 } // namespace
 
-call_info entry_call::facts() const
+call_info entry_call::info() const
 {
-    call_info facts;
-    facts.rank = rank;
-    facts.customer = stable_hash(customer.str());
-    facts.work_class = work_class->hash;
-    facts.request = stable_hash(request.str());
-    facts.deadline = deadline;
-    facts.target = work_class->target;
-    facts.bulk = work_class->bulk;
-    facts.sub_call = part_of.has_value();
-    facts.repeatable = work_class->repeatable;
-    return facts;
+    call_info info;
+    info.rank = rank;
+    info.customer = stable_hash(customer.str());
+    info.work_class = work_class->hash;
+    info.request = stable_hash(request.str());
+    info.deadline = deadline;
+    info.target = work_class->target;
+    info.bulk = work_class->bulk;
+    info.sub_call = sub_call.has_value();
+    info.repeatable = work_class->repeatable;
+    return info;
 }
 
 asio::awaitable<void> entry_call::refuse(refusal refused)
@@ -30,9 +30,9 @@
         co_return;
     }
     answered = true;
-    refused_as = refused.reason;
+    refused_reason = refused.reason;
     const auto& name = work_class == nullptr ? no_class : work_class->id;
-    here.shared.measured.refused(
+    owner.shared.request_metrics.refused(
         call_side::entry, name, refused.reason, refused.result, tries);
     const auto id = refused.result == call_outcome::unknown &&
                             work_class != nullptr && !work_class->repeatable
@@ -53,7 +53,7 @@
 
 void entry_call::count_completed()
 {
-    here.shared.measured.completed(
+    owner.shared.request_metrics.completed(
         call_side::entry, work_class->id, host_clock().now() - arrived, tries);
 }
 
--- a/nutmegusher/node/entry_call.hpp
+++ b/nutmegusher/node/entry_call.hpp
@@ -16,15 +16,15 @@
 
 struct entry_call
 {
-    entry_call(worker& here, caller_exchange& exchange, request_origin origin)
-        : here(here)
+    entry_call(worker& owner, caller_exchange& exchange, request_origin origin)
+        : owner(owner)
         , exchange(exchange)
         , origin(origin)
         , arrived(host_clock().now())
     {
     }
 
-    worker& here;
+    worker& owner;
     caller_exchange& exchange;
     request_origin origin;
     time_point arrived;
@@ -38,7 +38,7 @@
     time_point deadline;
     // Tokens of this request at this hop; a sub-call's are in its handle.
     retry_tokens own_tokens;
-    std::optional<request_ledger::sub_call> part_of;
+    std::optional<request_ledger::sub_call> sub_call;
     std::string body;
     bool body_complete = false;
     std::uint32_t tries = 0;
@@ -47,11 +47,11 @@
     std::shared_ptr<bool> caller_gone = std::make_shared<bool>(false);
     bool answered = false;
     // Set where it was given up on.
-    std::optional<call_reason> refused_as;
+    std::optional<call_reason> refused_reason;
 
     [[nodiscard]] retry_tokens& tokens()
     {
-        return part_of ? part_of->tokens() : own_tokens;
+        return sub_call ? sub_call->tokens() : own_tokens;
     }
 
     [[nodiscard]] duration time_left() const
@@ -59,7 +59,7 @@
         return deadline - host_clock().now();
     }
 
-    [[nodiscard]] call_info facts() const;
+    [[nodiscard]] call_info info() const;
 
     // Answers with a refusal; does nothing where an answer was begun.
     asio::awaitable<void> refuse(refusal refused);
--- a/nutmegusher/node/entry_chain.cpp
+++ b/nutmegusher/node/entry_chain.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-constexpr std::size_t piece_bytes = 16384;
+constexpr std::size_t chunk_bytes = 16384;
 // A refusal of the daemon itself, not of an upstream: another daemon serves.
-constexpr duration come_back_elsewhere = std::chrono::milliseconds(100);
+constexpr duration retry_elsewhere_after = std::chrono::milliseconds(100);
 
-std::string text_of(const entry_call& call, std::string_view name)
+std::string header_text(const entry_call& call, std::string_view name)
 {
     const auto& fields = call.exchange.head().fields;
     return std::string(wire::find_header(fields, name).value_or(""));
@@ -40,10 +40,10 @@
     template <class Next>
     asio::awaitable<void> operator()(entry_call& call, Next next)
     {
-        const auto wrong = classify(call);
-        if (wrong)
+        const auto problem = classify(call);
+        if (problem)
         {
-            co_await call.refuse(*wrong);
+            co_await call.refuse(*problem);
             co_return;
         }
         co_await next();
@@ -51,16 +51,16 @@
 
     static std::optional<refusal> classify(entry_call& call)
     {
-        call.request = new_request_id(call.here.random);
+        call.request = new_request_id(call.owner.random);
         const auto& head = call.exchange.head();
-        call.classes = call.here.shared.configuration.current();
+        call.classes = call.owner.shared.configuration.current();
         call.work_class = call.classes->match(head.method, head.path);
         if (call.classes->at() == revision(0))
         {
             return refusal{
                 call_reason::starting,
                 call_outcome::not_run,
-                come_back_elsewhere};
+                retry_elsewhere_after};
         }
         if (call.work_class == nullptr)
         {
@@ -76,15 +76,15 @@
 
     static std::optional<refusal> check_headers(entry_call& call)
     {
-        const auto timeout = text_of(call, field::timeout);
+        const auto timeout = header_text(call, field::timeout);
         const auto given = parse_milliseconds(timeout);
         if (!timeout.empty() && !given)
         {
             return refusal{call_reason::bad_header};
         }
         call.deadline = call.arrived + given.value_or(call.work_class->target);
-        call.customer = customer_id(text_of(call, field::customer));
-        call.key = text_of(call, field::key);
+        call.customer = customer_id(header_text(call, field::customer));
+        call.key = header_text(call, field::key);
         if (!call.key.empty() && !is_token(call.key))
         {
             return refusal{call_reason::bad_header};
@@ -103,31 +103,31 @@
 
 // Tells the admission beside the upstream that a call of it waits for a
 // sub-call: that time isn't the upstream's own.
-class sub_call_mark
+class sub_call_scope
 {
 public:
-    explicit sub_call_mark(entry_call& call)
+    explicit sub_call_scope(entry_call& call)
         : call_(call)
     {
         gate().sub_call_started(request());
     }
 
-    ~sub_call_mark()
+    ~sub_call_scope()
     {
-        const auto why = call_.refused_as;
+        const auto why = call_.refused_reason;
         const bool for_load = why == call_reason::overload ||
                               why == call_reason::overload_deeper ||
                               why == call_reason::fair_share;
         gate().sub_call_ended(request(), for_load);
     }
 
-    sub_call_mark(const sub_call_mark&) = delete;
-    sub_call_mark& operator=(const sub_call_mark&) = delete;
+    sub_call_scope(const sub_call_scope&) = delete;
+    sub_call_scope& operator=(const sub_call_scope&) = delete;
 
 private:
     [[nodiscard]] admission_gate& gate() const
     {
-        return call_.here.shared.admission;
+        return call_.owner.shared.admission;
     }
 
     [[nodiscard]] std::uint64_t request() const
@@ -147,7 +147,7 @@
     {
         if (call.origin == request_origin::own_upstream)
         {
-            join(call);
+            join_request(call);
         }
         if (!call.work_class->repeatable && call.customer.empty())
         {
@@ -157,11 +157,11 @@
         }
         if (call.origin == request_origin::own_upstream)
         {
-            const sub_call_mark mark(call);
+            const sub_call_scope scope(call);
             co_await next();
             co_return;
         }
-        auto& pressure = call.here.shared.pressure;
+        auto& pressure = call.owner.shared.pressure;
         const auto of = call.work_class->hash;
         const auto key_hash =
             call.key.empty()
@@ -173,27 +173,27 @@
         pressure.end_request(of, given, call.own_tokens.count());
     }
 
-    static void join(entry_call& call)
+    static void join_request(entry_call& call)
     {
-        const request_id id(text_of(call, field::request_id));
+        const request_id id(header_text(call, field::request_id));
         if (id.empty())
         {
             return;
         }
         auto joined =
-            call.here.shared.ledger.begin_sub_call(id, sub_call_tokens);
+            call.owner.shared.ledger.begin_sub_call(id, sub_call_tokens);
         if (!joined)
         {
             return;
         }
-        call.part_of.emplace(*std::move(joined));
-        const auto& terms = call.part_of->context();
+        call.sub_call.emplace(*std::move(joined));
+        const auto& context = call.sub_call->context();
         call.request = id;
-        call.rank = static_cast<std::uint8_t>(terms.rank);
-        call.deadline = std::min(call.deadline, terms.deadline);
+        call.rank = static_cast<std::uint8_t>(context.rank);
+        call.deadline = std::min(call.deadline, context.deadline);
         if (call.customer.empty())
         {
-            call.customer = terms.customer;
+            call.customer = context.customer;
         }
     }
 
@@ -202,16 +202,16 @@
 };
 
 // Keeps the body, so that a call can be tried again; a long one streams.
-struct keep_body_filter
+struct buffer_body_filter
 {
     template <class Next>
     asio::awaitable<void> operator()(entry_call& call, Next next)
     {
-        const auto& limits = call.here.shared.configured.limits;
-        const auto most = call.work_class->repeatable
-                              ? limits.buffered_body_bytes
-                              : limits.claimed_body_bytes;
-        if (!co_await read(call, most))
+        const auto& limits = call.owner.shared.configured.limits;
+        const auto max_bytes = call.work_class->repeatable
+                                   ? limits.buffered_body_bytes
+                                   : limits.claimed_body_bytes;
+        if (!co_await read(call, max_bytes))
         {
             co_return; // the caller has gone, or its request is malformed
         }
@@ -224,35 +224,36 @@
         co_await next();
     }
 
-    static asio::awaitable<bool> read(entry_call& call, std::size_t most)
+    static asio::awaitable<bool> read(entry_call& call, std::size_t max_bytes)
     {
-        std::array<std::byte, piece_bytes> piece;
-        while (call.body.size() <= most)
+        std::array<std::byte, chunk_bytes> chunk;
+        while (call.body.size() <= max_bytes)
         {
-            const auto got = co_await call.exchange.read_some(piece);
-            if (!got)
+            const auto received = co_await call.exchange.read_some(chunk);
+            if (!received)
             {
-                if (got.error() == caller_failure::malformed)
+                if (received.error() == caller_failure::malformed)
                 {
                     const refusal refused{call_reason::bad_request};
                     co_await call.refuse(refused);
                 }
-                if (got.error() == caller_failure::given_up)
+                if (received.error() == caller_failure::given_up)
                 {
                     const refusal refused{
                         call_reason::leaving,
                         call_outcome::not_run,
-                        come_back_elsewhere};
+                        retry_elsewhere_after};
                     co_await call.refuse(refused);
                 }
                 co_return false;
             }
-            if (*got == 0)
+            if (*received == 0)
             {
                 call.body_complete = true;
                 co_return true;
             }
-            call.body.append(reinterpret_cast<const char*>(piece.data()), *got);
+            call.body.append(
+                reinterpret_cast<const char*>(chunk.data()), *received);
         }
         co_return true;
     }
@@ -266,16 +267,16 @@
     {
         if (call.origin == request_origin::caller)
         {
-            const auto no =
-                call.here.shared.pressure.check(call.facts(), call.here.random);
-            if (no)
+            const auto rejection = call.owner.shared.pressure.check(
+                call.info(), call.owner.random);
+            if (rejection)
             {
                 const refusal refused{
-                    no->reason == refusal_reason::fair_share
+                    rejection->reason == refusal_reason::fair_share
                         ? call_reason::fair_share
                         : call_reason::overload,
                     call_outcome::not_run,
-                    no->retry_after};
+                    rejection->retry_after};
                 co_await call.refuse(refused);
                 co_return;
             }
@@ -287,12 +288,12 @@
 } // namespace
 
 asio::awaitable<void>
-serve_request(worker& here, caller_exchange& exchange, request_origin origin)
+serve_request(worker& owner, caller_exchange& exchange, request_origin origin)
 {
-    entry_call call(here, exchange, origin);
+    entry_call call(owner, exchange, origin);
     classify_filter classify;
     request_filter request;
-    keep_body_filter body;
+    buffer_body_filter body;
     gate_filter gate;
     forward_filter forward;
     co_await run_filters(call, classify, request, body, gate, forward);
--- a/nutmegusher/node/entry_chain.hpp
+++ b/nutmegusher/node/entry_chain.hpp
@@ -23,7 +23,7 @@
 // Serves one request. It ends in a whole answer, a refusal, or a connection
 // that is closed without a clean end.
 asio::awaitable<void>
-serve_request(worker& here, caller_exchange& exchange, request_origin origin);
+serve_request(worker& owner, caller_exchange& exchange, request_origin origin);
 
 } // namespace nutmegusher::node
 
--- a/nutmegusher/node/forward_filter.cpp
+++ b/nutmegusher/node/forward_filter.cpp
@@ -14,22 +14,22 @@
 
 // A first call waits this long for the upstreams of its service to become
 // known; a sync with a control host takes a round trip.
-constexpr duration first_routes_limit = std::chrono::seconds(1);
-constexpr duration first_routes_step = std::chrono::milliseconds(2);
+constexpr duration first_routes_timeout = std::chrono::seconds(1);
+constexpr duration first_routes_poll_interval = std::chrono::milliseconds(2);
 // A service without any upstream: one may announce itself at any moment, and
 // takes about a second to be known everywhere.
-constexpr duration come_back_without_upstream = std::chrono::seconds(1);
+constexpr duration retry_without_upstream_after = std::chrono::seconds(1);
 // The fence's answer decides between "not run" and "unknown"; a caller that
 // was given up on isn't held back for longer than a commit needs.
-constexpr duration fence_limit = std::chrono::milliseconds(250);
+constexpr duration fence_timeout = std::chrono::milliseconds(250);
 // The baseline of measurements: so many tries at each hop, whatever failed.
-constexpr std::uint32_t naive_tries = 3;
+constexpr std::uint32_t max_naive_tries = 3;
 
 // The tries of one call, until one brings an answer or none can.
-class forwarding
+class try_sequence
 {
 public:
-    explicit forwarding(entry_call& call)
+    explicit try_sequence(entry_call& call)
         : call_(call)
     {
     }
@@ -41,20 +41,20 @@
         {
             if (call_.time_left() <= duration::zero())
             {
-                co_await give_up(last_.value_or(too_late()));
+                co_await give_up(last_refusal_.value_or(deadline_refusal()));
                 co_return;
             }
-            auto to = call_.here.shared.routes.start(
+            auto to = call_.owner.shared.routes.start(
                 call_.work_class->service,
-                call_.facts(),
+                call_.info(),
                 tried_,
-                call_.here.random);
+                call_.owner.random);
             if (!to)
             {
-                co_await give_up(last_.value_or(nowhere()));
+                co_await give_up(last_refusal_.value_or(no_upstream_refusal()));
                 co_return;
             }
-            if (co_await try_at(*std::move(to)))
+            if (co_await try_upstream(*std::move(to)))
             {
                 co_return;
             }
@@ -64,38 +64,38 @@
 private:
     asio::awaitable<void> wait_for_routes()
     {
-        auto& routes = call_.here.shared.routes;
+        auto& routes = call_.owner.shared.routes;
         const auto& service = call_.work_class->service;
-        if (routes.known(service))
+        if (routes.is_known(service))
         {
             co_return;
         }
-        if (routes.want(service))
+        if (routes.request_routes(service))
         {
-            call_.here.shared.sync_soon();
+            call_.owner.shared.request_sync();
         }
         const auto until = host_clock().now() +
-                           std::min(first_routes_limit, call_.time_left());
+                           std::min(first_routes_timeout, call_.time_left());
         asio::steady_timer pause(co_await asio::this_coro::executor);
-        while (!routes.known(service) && host_clock().now() < until)
+        while (!routes.is_known(service) && host_clock().now() < until)
         {
-            pause.expires_after(first_routes_step);
+            pause.expires_after(first_routes_poll_interval);
             co_await pause.async_wait(asio::use_awaitable);
         }
     }
 
     // True: the call has its final answer.
-    asio::awaitable<bool> try_at(route to)
+    asio::awaitable<bool> try_upstream(route to)
     {
         tried_.push_back(to.handle);
         ++call_.tries;
-        forward_try one(call_, std::move(to));
-        auto result = co_await one.run();
+        forward_try current_try(call_, std::move(to));
+        auto result = co_await current_try.run();
         if (result)
         {
             call_.answered = true;
             auto answer = *std::move(result);
-            if (co_await one.pass_on(std::move(answer)))
+            if (co_await current_try.forward_answer(std::move(answer)))
             {
                 call_.count_completed();
             }
@@ -103,16 +103,16 @@
         }
         auto failed = result.error();
         if (!call_.work_class->repeatable && !failed.certainly_not_run &&
-            failed.told.reason != call_reason::in_progress)
+            failed.caller_refusal.reason != call_reason::in_progress)
         {
-            if (co_await settle_by_fence(one.attempt(), failed))
+            if (co_await settle_by_fence(current_try.attempt(), failed))
             {
                 co_return true;
             }
         }
         may_have_run_ = may_have_run_ || !failed.certainly_not_run;
-        last_ = failed.told;
-        co_return !co_await may_try_again(failed);
+        last_refusal_ = failed.caller_refusal;
+        co_return !co_await prepare_retry(failed);
     }
 
     // Asks the claim log what became of the attempt. True: its first answer
@@ -128,27 +128,27 @@
         command.mutable_fence();
         command.set_proposed_at_ms(wall_milliseconds());
         const auto result = co_await propose_claim(
-            call_.here.peers,
-            call_.here.shared.claims,
+            call_.owner.peers,
+            call_.owner.shared.claims,
             std::move(command),
-            fence_limit);
+            fence_timeout);
         if (!result)
         {
-            failed.told.result = call_outcome::unknown;
+            failed.caller_refusal.result = call_outcome::unknown;
             co_return false;
         }
-        const auto told = outcome_of_fence(*result);
-        failed.told.result = told.outcome;
-        failed.certainly_not_run = told.outcome == call_outcome::not_run;
-        if (told.outcome != call_outcome::completed || !told.answer)
+        const auto reported = outcome_of_fence(*result);
+        failed.caller_refusal.result = reported.outcome;
+        failed.certainly_not_run = reported.outcome == call_outcome::not_run;
+        if (reported.outcome != call_outcome::completed || !reported.answer)
         {
             co_return false;
         }
-        co_await pass_stored(*told.answer);
+        co_await send_stored(*reported.answer);
         co_return true;
     }
 
-    asio::awaitable<void> pass_stored(const messages::stored_answer& stored)
+    asio::awaitable<void> send_stored(const messages::stored_answer& stored)
     {
         wire::response_head head;
         head.status = stored.status();
@@ -171,24 +171,24 @@
     }
 
     // False: the call was given up on and answered.
-    asio::awaitable<bool> may_try_again(const try_failed& failed)
+    asio::awaitable<bool> prepare_retry(const try_failed& failed)
     {
         const auto decided = decide(failed);
         const bool replayable = call_.body_complete && !*call_.caller_gone;
         if (std::holds_alternative<no_retry>(decided) || !replayable)
         {
-            co_await give_up(failed.told);
+            co_await give_up(failed.caller_refusal);
             co_return false;
         }
-        if (!call_.here.shared.configured.measurement.naive)
+        if (!call_.owner.shared.configured.measurement.naive)
         {
             call_.tokens().spend();
         }
-        if (const auto* later = std::get_if<retry_after>(&decided))
+        if (const auto* delayed = std::get_if<retry_after>(&decided))
         {
             tried_.clear();
             asio::steady_timer pause(co_await asio::this_coro::executor);
-            pause.expires_after(later->pause);
+            pause.expires_after(delayed->pause);
             co_await pause.async_wait(asio::use_awaitable);
         }
         co_return true;
@@ -198,57 +198,58 @@
     {
         const bool may_repeat =
             call_.work_class->repeatable || failed.certainly_not_run;
-        if (call_.here.shared.configured.measurement.naive)
+        if (call_.owner.shared.configured.measurement.naive)
         {
             tried_.clear();
-            return may_repeat && call_.tries < naive_tries
+            return may_repeat && call_.tries < max_naive_tries
                        ? retry_decision(retry_at_once())
                        : retry_decision(no_retry());
         }
-        failed_try facts;
-        facts.how = failed.how;
-        facts.repeatable = call_.work_class->repeatable;
-        facts.certainly_not_run = failed.certainly_not_run;
-        facts.tokens = call_.tokens().count();
-        facts.time_left = call_.time_left();
-        facts.has_alternative = call_.here.shared.routes.has_alternative(
-            call_.work_class->service, call_.facts(), tried_);
-        facts.tries = call_.tries;
-        return decide_retry(facts, call_.here.random);
+        failed_try info;
+        info.how = failed.how;
+        info.repeatable = call_.work_class->repeatable;
+        info.certainly_not_run = failed.certainly_not_run;
+        info.tokens = call_.tokens().count();
+        info.time_left = call_.time_left();
+        info.has_alternative = call_.owner.shared.routes.has_alternative(
+            call_.work_class->service, call_.info(), tried_);
+        info.tries = call_.tries;
+        return decide_retry(info, call_.owner.random);
     }
 
-    asio::awaitable<void> give_up(refusal told)
+    asio::awaitable<void> give_up(refusal reported)
     {
         if (may_have_run_)
         {
-            told.result = call_outcome::unknown;
+            reported.result = call_outcome::unknown;
         }
-        if (told.come_back <= duration::zero() && status_of(told.reason) >= 500)
+        if (reported.retry_after <= duration::zero() &&
+            status_of(reported.reason) >= 500)
         {
             // A fault without a known end: about the time that a call takes.
-            told.come_back = jittered(
+            reported.retry_after = jittered(
                 std::max(min_retry_after, call_.work_class->target / 2),
-                call_.here.random);
+                call_.owner.random);
         }
-        co_await call_.refuse(told);
+        co_await call_.refuse(reported);
     }
 
-    [[nodiscard]] static refusal too_late()
+    [[nodiscard]] static refusal deadline_refusal()
     {
         return {call_reason::deadline, call_outcome::not_run};
     }
 
-    [[nodiscard]] static refusal nowhere()
+    [[nodiscard]] static refusal no_upstream_refusal()
     {
         return {
             call_reason::no_upstream,
             call_outcome::not_run,
-            come_back_without_upstream};
+            retry_without_upstream_after};
     }
 
     entry_call& call_;
     std::vector<upstream_handle> tried_;
-    std::optional<refusal> last_;
+    std::optional<refusal> last_refusal_;
     // One of the tries wasn't proved not to have run: only a repeatable call
     // is tried again after that, and its caller isn't told "not run".
     bool may_have_run_ = false;
@@ -258,7 +259,7 @@
 
 asio::awaitable<void> forward_filter::run(entry_call& call)
 {
-    forwarding tries(call);
+    try_sequence tries(call);
     co_await tries.run();
 }
 
--- a/nutmegusher/node/forward_try.cpp
+++ b/nutmegusher/node/forward_try.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-constexpr std::size_t piece_bytes = 16384;
+constexpr std::size_t chunk_bytes = 16384;
 // Far above a round trip between regions; a host that takes longer to accept
 // is slow or gone, and another one can be tried in the time that is left.
-constexpr duration connect_limit = std::chrono::milliseconds(250);
+constexpr duration connect_timeout = std::chrono::milliseconds(250);
 
-bool is_own_or_hop(std::string_view name)
+bool is_internal_or_hop_by_hop(std::string_view name)
 {
     return name.starts_with("nutmeg-") || name == field::key ||
            name == "host" || name == "connection" ||
@@ -83,9 +83,9 @@
     , to_(std::move(to))
     , started_(host_clock().now())
 {
-    attempt_.set_entry_host(call.here.attempt_name);
-    attempt_.set_entry_incarnation(call.here.shared.run.value());
-    attempt_.set_sequence(call.here.attempts.next(wall_milliseconds()));
+    attempt_.set_entry_host(call.owner.attempt_name);
+    attempt_.set_entry_incarnation(call.owner.shared.run.value());
+    attempt_.set_sequence(call.owner.attempts.next(wall_milliseconds()));
 }
 
 forward_try::~forward_try()
@@ -100,7 +100,7 @@
         return;
     }
     reported_ = true;
-    call_.here.shared.routes.end(
+    call_.owner.shared.routes.end(
         call_.work_class->service,
         to_.handle,
         call_.work_class->bulk,
@@ -114,7 +114,7 @@
     wire::request_head head{from.method, from.path, {}};
     for (const auto& item : from.fields)
     {
-        if (!is_own_or_hop(item.name))
+        if (!is_internal_or_hop_by_hop(item.name))
         {
             head.fields.push_back(item);
         }
@@ -151,9 +151,9 @@
     const auto kind = call_.work_class->bulk ? wire::traffic::long_transfers
                                              : wire::traffic::short_calls;
     const auto connect_until =
-        std::min(call_.deadline, host_clock().now() + connect_limit);
+        std::min(call_.deadline, host_clock().now() + connect_timeout);
     const auto session =
-        co_await call_.here.peers.get(to_.address, kind, connect_until);
+        co_await call_.owner.peers.get(to_.address, kind, connect_until);
     if (!session)
     {
         co_return not_sent(session.error());
@@ -166,7 +166,7 @@
     {
         co_return not_sent(opened.error());
     }
-    lent_.emplace(tokens.take(split.sent).send());
+    outstanding_.emplace(tokens.take(split.sent).send());
     stream_ = *std::move(opened);
     stream_->expire_after(call_.time_left());
     if (call_.body_complete)
@@ -188,7 +188,7 @@
         call_.exchange.on_disconnect(end);
         call_.exchange.on_give_up(end);
     }
-    watch_for_slowness();
+    start_slow_try_timer();
     if (!bodiless)
     {
         const auto sent = co_await send_body();
@@ -202,40 +202,40 @@
 
 // Load pattern: one slow upstream of several. Without this each call that it
 // was given waits there until its deadline.
-void forward_try::watch_for_slowness()
+void forward_try::start_slow_try_timer()
 {
-    const auto& shared = call_.here.shared;
+    const auto& shared = call_.owner.shared;
     const auto& of = *call_.work_class;
     const auto limit =
         shared.routes.try_timeout(of.service, to_.handle, of.bulk);
-    const bool can_move =
+    const bool can_switch =
         of.repeatable && call_.body_complete && call_.tokens().count() > 0;
-    if (!limit || !can_move || *limit >= call_.time_left())
+    if (!limit || !can_switch || *limit >= call_.time_left())
     {
         return;
     }
-    slowness_ = std::make_unique<asio::steady_timer>(call_.here.context);
-    slowness_->expires_after(*limit);
+    slow_try_timer_ = std::make_unique<asio::steady_timer>(call_.owner.context);
+    slow_try_timer_->expires_after(*limit);
     std::weak_ptr<forward_try*> weak = alive_;
-    slowness_->async_wait(
+    slow_try_timer_->async_wait(
         [weak](boost::system::error_code stopped)
         {
             const auto self = weak.lock();
-            if (!stopped && self && (*self)->slowness_)
+            if (!stopped && self && (*self)->slow_try_timer_)
             {
-                (*self)->move_if_worth();
+                (*self)->switch_if_faster();
             }
         });
 }
 
-void forward_try::move_if_worth()
+void forward_try::switch_if_faster()
 {
     const std::array tried{to_.handle};
     const auto& service = call_.work_class->service;
-    if (call_.here.shared.routes.should_try_elsewhere(
-            service, call_.facts(), tried))
+    if (call_.owner.shared.routes.should_try_elsewhere(
+            service, call_.info(), tried))
     {
-        moved_ = true;
+        switched_ = true;
         stream_->cancel();
     }
 }
@@ -248,19 +248,19 @@
     {
         co_return sent;
     }
-    std::array<std::byte, piece_bytes> piece;
+    std::array<std::byte, chunk_bytes> chunk;
     while (sent)
     {
-        const auto got = co_await call_.exchange.read_some(piece);
-        if (!got)
+        const auto received = co_await call_.exchange.read_some(chunk);
+        if (!received)
         {
             *call_.caller_gone = true;
             stream_->cancel();
             co_return wire::stream_failure::cancelled;
         }
-        const auto bytes = std::span(piece).first(*got);
-        sent = co_await stream_->write(bytes, *got == 0);
-        if (*got == 0)
+        const auto bytes = std::span(chunk).first(*received);
+        sent = co_await stream_->write(bytes, *received == 0);
+        if (*received == 0)
         {
             break;
         }
@@ -271,12 +271,12 @@
 asio::awaitable<try_result> forward_try::read_answer()
 {
     auto head = co_await stream_->read_head();
-    slowness_.reset();
+    slow_try_timer_.reset();
     if (!head)
     {
         co_return failed(head.error());
     }
-    take_feedback(*head);
+    apply_feedback(*head);
     if (const auto refused = refusal_of(*head))
     {
         co_return refused_by_peer(*refused);
@@ -287,29 +287,31 @@
     }
     try_answer answer;
     answer.head = *std::move(head);
-    const auto most = call_.here.shared.configured.limits.buffered_body_bytes;
-    std::array<std::byte, piece_bytes> piece;
-    while (answer.begin.size() <= most)
+    const auto max_bytes =
+        call_.owner.shared.configured.limits.buffered_body_bytes;
+    std::array<std::byte, chunk_bytes> chunk;
+    while (answer.first_bytes.size() <= max_bytes)
     {
-        const auto got = co_await stream_->read_some(piece);
-        if (!got)
+        const auto received = co_await stream_->read_some(chunk);
+        if (!received)
         {
-            auto failure = failed(got.error());
+            auto failure = failed(received.error());
             failure.how = try_failure::answer_broken;
             co_return failure;
         }
-        if (*got == 0)
+        if (*received == 0)
         {
-            answer.whole = true;
+            answer.complete = true;
             report(try_end::answer);
             co_return answer;
         }
-        answer.begin.append(reinterpret_cast<const char*>(piece.data()), *got);
+        answer.first_bytes.append(
+            reinterpret_cast<const char*>(chunk.data()), *received);
     }
     co_return answer;
 }
 
-asio::awaitable<bool> forward_try::pass_on(try_answer answer)
+asio::awaitable<bool> forward_try::forward_answer(try_answer answer)
 {
     const auto length = content_length(answer.head);
     wire::response_head head{
@@ -318,44 +320,46 @@
         {std::string(field::tries), std::to_string(call_.tries)});
     head.fields.push_back(
         {std::string(field::request_id), call_.request.str()});
-    if (answer.whole)
+    if (answer.complete)
     {
-        co_return co_await call_.exchange.answer(std::move(head), answer.begin);
+        co_return co_await call_.exchange.answer(
+            std::move(head), answer.first_bytes);
     }
     bool open = co_await call_.exchange.begin_answer(std::move(head), length);
-    const auto begin = std::as_bytes(std::span(answer.begin));
-    open = open && co_await call_.exchange.write_some(begin);
-    std::array<std::byte, piece_bytes> piece;
+    const auto first_bytes = std::as_bytes(std::span(answer.first_bytes));
+    open = open && co_await call_.exchange.write_some(first_bytes);
+    std::array<std::byte, chunk_bytes> chunk;
     while (open)
     {
-        const auto got = co_await stream_->read_some(piece);
-        if (!got)
+        const auto received = co_await stream_->read_some(chunk);
+        if (!received)
         {
-            failed(got.error());
+            failed(received.error());
             log_event(
                 event::answer_broken,
                 {{"class", call_.work_class->id.str()},
                  {"request", call_.request.str()}});
             co_return false;
         }
-        if (*got == 0)
+        if (*received == 0)
         {
             report(try_end::answer);
             co_return co_await call_.exchange.end_answer();
         }
-        const auto bytes = std::span(piece).first(*got);
+        const auto bytes = std::span(chunk).first(*received);
         open = co_await call_.exchange.write_some(bytes);
     }
     stream_->cancel();
     co_return false;
 }
 
-void forward_try::take_feedback(const wire::response_head& head)
+void forward_try::apply_feedback(const wire::response_head& head)
 {
     const auto back = wire::find_header(head.fields, field::retry_tokens);
-    if (back && lent_)
+    if (back && outstanding_)
     {
-        call_.tokens().put(lent_->reclaim(parse_count(*back).value_or(0)));
+        call_.tokens().put(
+            outstanding_->reclaim(parse_count(*back).value_or(0)));
     }
     const auto text = wire::find_header(head.fields, field::admission_level);
     if (!text)
@@ -367,29 +371,29 @@
     {
         return;
     }
-    auto& shared = call_.here.shared;
+    auto& shared = call_.owner.shared;
     const auto ahead = shared.routes.on_levels(
         call_.work_class->service, to_.handle, *levels, call_.work_class->bulk);
-    if (call_.part_of)
+    if (call_.sub_call)
     {
-        const auto root = call_.part_of->context().work_class.str();
+        const auto root = call_.sub_call->context().work_class.str();
         shared.pressure.on_sub_call_level(stable_hash(root), ahead);
     }
     else if (call_.origin == request_origin::caller)
     {
-        shared.pressure.on_level(call_.facts(), ahead);
+        shared.pressure.on_level(call_.info(), ahead);
     }
 }
 
 try_failed forward_try::refused_by_peer(const refusal& refused)
 {
     const auto how = to_failure(refused.reason);
-    const bool unwell = how == try_failure::not_connected ||
-                        how == try_failure::upstream_failed;
+    const bool unhealthy = how == try_failure::not_connected ||
+                           how == try_failure::upstream_failed;
     const bool late =
         how == try_failure::deadline && refused.result == call_outcome::unknown;
     report(
-        unwell                        ? try_end::failure
+        unhealthy                     ? try_end::failure
         : late                        ? try_end::silence
         : how == try_failure::leaving ? try_end::leaving
                                       : try_end::neutral);
@@ -403,9 +407,9 @@
     log_event(
         event::connection_failed,
         {{"to", to_.host.str()}, {"why", wire::to_string(failure)}});
-    const refusal told{
+    const refusal caller_refusal{
         call_reason::no_upstream, call_outcome::not_run, min_retry_after};
-    return {try_failure::not_connected, true, told};
+    return {try_failure::not_connected, true, caller_refusal};
 }
 
 try_failed forward_try::failed(wire::stream_failure failure)
@@ -417,14 +421,14 @@
     }
     const bool not_run = certainly_not_processed(failure);
     const auto result = not_run ? call_outcome::not_run : call_outcome::unknown;
-    if (moved_)
+    if (switched_)
     {
         report(try_end::silence);
-        const refusal told{
+        const refusal caller_refusal{
             call_reason::connection_lost,
             call_outcome::unknown,
             min_retry_after};
-        return {try_failure::connection_lost, false, told};
+        return {try_failure::connection_lost, false, caller_refusal};
     }
     if (failure == timed_out)
     {
@@ -440,11 +444,11 @@
     const auto how = not_run               ? try_failure::leaving
                      : failure == protocol ? try_failure::answer_broken
                                            : try_failure::connection_lost;
-    const refusal told{
+    const refusal caller_refusal{
         not_run ? call_reason::leaving : call_reason::connection_lost,
         result,
         min_retry_after};
-    return {how, not_run, told};
+    return {how, not_run, caller_refusal};
 }
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/forward_try.hpp
+++ b/nutmegusher/node/forward_try.hpp
@@ -19,15 +19,15 @@
     try_failure how = try_failure::connection_lost;
     bool certainly_not_run = false;
     // What the caller is told if it isn't tried again.
-    refusal told;
+    refusal caller_refusal;
 };
 
 // What a try brought: the answer's head and its first bytes, or its whole.
 struct try_answer
 {
     wire::response_head head;
-    std::string begin;
-    bool whole = false;
+    std::string first_bytes;
+    bool complete = false;
 };
 
 using try_result = outcome<try_answer, try_failed>;
@@ -47,7 +47,7 @@
 
     // Passes an answer that is longer than that on, as it comes. False: it
     // broke, and the caller's connection must not end cleanly.
-    asio::awaitable<bool> pass_on(try_answer answer);
+    asio::awaitable<bool> forward_answer(try_answer answer);
 
     // Names this try in the claim log.
     [[nodiscard]] const messages::attempt& attempt() const
@@ -59,9 +59,9 @@
     wire::request_head make_head(std::uint32_t tokens) const;
     asio::awaitable<outcome<void, wire::stream_failure>> send_body();
     asio::awaitable<try_result> read_answer();
-    void take_feedback(const wire::response_head& head);
-    void watch_for_slowness();
-    void move_if_worth();
+    void apply_feedback(const wire::response_head& head);
+    void start_slow_try_timer();
+    void switch_if_faster();
     void report(try_end how);
     try_failed refused_by_peer(const refusal& refused);
     try_failed failed(wire::stream_failure failure);
@@ -72,13 +72,13 @@
     messages::attempt attempt_;
     time_point started_;
     std::unique_ptr<wire::client_stream> stream_;
-    std::optional<outstanding_tokens> lent_;
+    std::optional<outstanding_tokens> outstanding_;
     // Runs while no answer has begun.
-    std::unique_ptr<asio::steady_timer> slowness_;
+    std::unique_ptr<asio::steady_timer> slow_try_timer_;
     // A timer's handler may already be queued when the try ends.
     std::shared_ptr<forward_try*> alive_ = std::make_shared<forward_try*>(this);
     // Given up in favour of a faster upstream.
-    bool moved_ = false;
+    bool switched_ = false;
     bool reported_ = false;
 };
 
--- a/nutmegusher/node/operator_api.cpp
+++ b/nutmegusher/node/operator_api.cpp
@@ -178,7 +178,7 @@
              {"level", format_level(shared.admission.level())}}},
         {"requests_running", shared.ledger.size()},
         {"routes", shared.routes.dump()},
-        {"classes", shared.measured.dump()},
+        {"classes", shared.request_metrics.dump()},
         {"quarantine", quarantined(here, sources)},
         {"crash_records", shared.crashes.size()},
         {"sync", sources.sync()}};
@@ -309,7 +309,7 @@
 
 asio::awaitable<void> answer_metrics(worker& here, caller_exchange& exchange)
 {
-    const auto text = here.shared.measured.exposition();
+    const auto text = here.shared.request_metrics.exposition();
     wire::response_head plain{
         200, {{"content-type", "text/plain; version=0.0.4"}}};
     co_await exchange.answer(std::move(plain), text);
--- a/nutmegusher/node/outcome_api.cpp
+++ b/nutmegusher/node/outcome_api.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr duration outcome_limit = std::chrono::seconds(2);
+constexpr duration outcome_timeout = std::chrono::seconds(2);
 
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_conflict = 409;
@@ -94,15 +94,15 @@
 
 // Asks one control host after the other, until one has read the key's log.
 asio::awaitable<std::optional<messages::claim_result>>
-find_claim(worker& here, const messages::claim_key& key)
+find_claim(worker& owner, const messages::claim_key& key)
 {
     const auto body = key.SerializeAsString();
-    const auto until = host_clock().now() + outcome_limit;
-    for (const auto& host : here.shared.claims.control_hosts())
+    const auto until = host_clock().now() + outcome_timeout;
+    for (const auto& host : owner.shared.claims.control_hosts())
     {
-        const auto left = until - host_clock().now();
+        const auto remaining = until - host_clock().now();
         const auto answer = co_await wire::call(
-            here.peers, host, "/control/find-claim", body, left);
+            owner.peers, host, "/control/find-claim", body, remaining);
         messages::claim_result result;
         if (answer && result.ParseFromString(*answer) &&
             result.verdict() != messages::claim_unavailable)
@@ -151,9 +151,9 @@
         return leaf::new_error(
             json_error{json_problem::missing_field, std::string(name)});
     }
-    json::error_code wrong;
-    const auto value = found->to_number<std::uint64_t>(wrong);
-    if (wrong)
+    json::error_code problem;
+    const auto value = found->to_number<std::uint64_t>(problem);
+    if (problem)
     {
         return leaf::new_error(
             json_error{json_problem::wrong_type, std::string(name)});
@@ -187,13 +187,13 @@
     constexpr std::uint64_t first_status = 200;
     constexpr std::uint64_t last_status = 599;
     auto& resolve = *to.mutable_resolve();
-    const auto* const never = from.if_contains("never_ran");
-    if (never != nullptr && *never == json::value(true) &&
+    const auto* const never_ran = from.if_contains("never_ran");
+    if (never_ran != nullptr && *never_ran == json::value(true) &&
         !from.contains("status"))
     {
         return {};
     }
-    if (never != nullptr)
+    if (never_ran != nullptr)
     {
         return leaf::new_error(
             json_error{json_problem::out_of_range, "never_ran"});
@@ -263,7 +263,7 @@
 }
 
 asio::awaitable<outcome_answer>
-look_up_outcome(worker& here, std::string_view target)
+look_up_outcome(worker& owner, std::string_view target)
 {
     auto query = parse_query(target);
     messages::claim_key key;
@@ -276,7 +276,7 @@
         co_return error_answer(
             status_invalid, "customer-class-and-key-are-needed");
     }
-    const auto result = co_await find_claim(here, key);
+    const auto result = co_await find_claim(owner, key);
     if (!result)
     {
         co_return error_answer(status_unavailable, "claims-unavailable");
@@ -284,9 +284,9 @@
     co_return outcome_answer(status_ok, outcome_json(*result));
 }
 
-asio::awaitable<outcome_answer> settle_outcome(worker& here, std::string body)
+asio::awaitable<outcome_answer> settle_outcome(worker& owner, std::string body)
 {
-    json_error wrong;
+    json_error problem;
     messages::claim_command command;
     const bool parsed = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
@@ -296,7 +296,7 @@
         },
         [&](const json_error& error)
         {
-            wrong = error;
+            problem = error;
             return false;
         },
         []
@@ -305,11 +305,11 @@
         });
     if (!parsed)
     {
-        co_return outcome_answer(status_invalid, to_json(wrong));
+        co_return outcome_answer(status_invalid, to_json(problem));
     }
     command.set_proposed_at_ms(wall_milliseconds());
     const auto result = co_await propose_claim(
-        here.peers, here.shared.claims, std::move(command), outcome_limit);
+        owner.peers, owner.shared.claims, std::move(command), outcome_timeout);
     if (!result)
     {
         co_return error_answer(status_unavailable, "claims-unavailable");
--- a/nutmegusher/node/outcome_api.hpp
+++ b/nutmegusher/node/outcome_api.hpp
@@ -20,10 +20,10 @@
 
 // `GET /v1/outcome?customer=&class=&key=`.
 asio::awaitable<outcome_answer>
-look_up_outcome(worker& here, std::string_view target);
+look_up_outcome(worker& owner, std::string_view target);
 
 // `POST /v1/outcome`: settles a claim whose executor has ended for good.
-asio::awaitable<outcome_answer> settle_outcome(worker& here, std::string body);
+asio::awaitable<outcome_answer> settle_outcome(worker& owner, std::string body);
 
 // The command behind `POST /v1/outcome`, without its time.
 // Errors: `json_error`.
--- a/nutmegusher/node/outcome_api_test.cpp
+++ b/nutmegusher/node/outcome_api_test.cpp
@@ -15,21 +15,21 @@
     "entry_incarnation": 3, "sequence": 1876953497600000001,
     "executor_host": "x", "executor_incarnation": 4, "execution": 5}})";
 
-std::string without(const std::string& name)
+std::string without_field(const std::string& name)
 {
     auto value = json::parse(never_ran);
     value.get_object().erase(name);
     return json::serialize(value);
 }
 
-std::string with(const std::string& name, json::value what)
+std::string with_field(const std::string& name, json::value what)
 {
     auto value = json::parse(never_ran);
     value.get_object()[name] = std::move(what);
     return json::serialize(value);
 }
 
-std::string field_refused(const std::string& text)
+std::string parse_error(const std::string& text)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::string>
@@ -60,7 +60,7 @@
 
 TEST(parse_settlement, reads_an_outcome)
 {
-    auto value = json::parse(without("never_ran"));
+    auto value = json::parse(without_field("never_ran"));
     value.get_object()["status"] = 201;
     const auto command = parse_settlement(json::serialize(value));
     ASSERT_TRUE(command);
@@ -69,15 +69,15 @@
 
 TEST(parse_settlement, names_what_is_wrong)
 {
-    EXPECT_EQ(field_refused("{"), "not-json ");
-    EXPECT_EQ(field_refused("[]"), "not-an-object ");
-    EXPECT_EQ(field_refused(without("key")), "missing-field key");
-    EXPECT_EQ(field_refused(without("holder")), "missing-field holder");
-    EXPECT_EQ(field_refused(without("never_ran")), "missing-field status");
-    EXPECT_EQ(field_refused(with("class", 3)), "wrong-type class");
+    EXPECT_EQ(parse_error("{"), "not-json ");
+    EXPECT_EQ(parse_error("[]"), "not-an-object ");
+    EXPECT_EQ(parse_error(without_field("key")), "missing-field key");
+    EXPECT_EQ(parse_error(without_field("holder")), "missing-field holder");
+    EXPECT_EQ(parse_error(without_field("never_ran")), "missing-field status");
+    EXPECT_EQ(parse_error(with_field("class", 3)), "wrong-type class");
     EXPECT_EQ(
-        field_refused(with("never_ran", false)), "out-of-range never_ran");
-    EXPECT_EQ(field_refused(with("status", 201)), "out-of-range never_ran");
+        parse_error(with_field("never_ran", false)), "out-of-range never_ran");
+    EXPECT_EQ(parse_error(with_field("status", 201)), "out-of-range never_ran");
 }
 
 TEST(outcome_json, no_record_is_not_taken_for_not_run)
@@ -95,7 +95,8 @@
     result.mutable_executor()->set_execution(5);
     const auto shown = outcome_json(result);
     EXPECT_EQ(shown.at("outcome"), "unknown");
-    const auto command = parse_settlement(with("holder", shown.at("holder")));
+    const auto command =
+        parse_settlement(with_field("holder", shown.at("holder")));
     ASSERT_TRUE(command);
     EXPECT_EQ(command->by().sequence(), result.holder().sequence());
     EXPECT_EQ(command->executor().execution(), 5U);
--- a/nutmegusher/node/own_upstream.cpp
+++ b/nutmegusher/node/own_upstream.cpp
@@ -53,15 +53,15 @@
     BOOST_LEAF_AUTO(service, text_field(object, "service"));
     BOOST_LEAF_AUTO(address, text_field(object, "address"));
     BOOST_LEAF_AUTO(state, text_field(object, "state"));
-    announcement said;
-    said.service = service_name(service);
+    announcement announced;
+    announced.service = service_name(service);
     const auto parsed = parse_endpoint(address);
     if (!parsed)
     {
         return leaf::new_error(
             json_error{json_problem::out_of_range, "address"});
     }
-    said.address = *parsed;
+    announced.address = *parsed;
     if (service.empty() || service.find('/') != std::string::npos)
     {
         return leaf::new_error(
@@ -69,21 +69,21 @@
     }
     if (state == "serving")
     {
-        said.state = messages::upstream_serving;
+        announced.state = messages::upstream_serving;
     }
     else if (state == "leaving")
     {
-        said.state = messages::upstream_leaving;
+        announced.state = messages::upstream_leaving;
     }
     else if (state == "starting")
     {
-        said.state = messages::upstream_starting;
+        announced.state = messages::upstream_starting;
     }
     else
     {
         return leaf::new_error(json_error{json_problem::out_of_range, "state"});
     }
-    return said;
+    return announced;
 }
 
 own_upstream::own_upstream(
@@ -96,27 +96,29 @@
     record_.set_address(to_text(peers));
 }
 
-upstream_change own_upstream::announce(const announcement& said, time_point now)
+upstream_change
+own_upstream::announce(const announcement& announced, time_point now)
 {
     const std::scoped_lock lock(mutex_);
-    heard_ = now;
-    const auto before = said_ ? said_->state : messages::upstream_state_none;
-    said_ = said;
-    if (left_)
+    last_announced_ = now;
+    const auto before =
+        announced_ ? announced_->state : messages::upstream_state_none;
+    announced_ = announced;
+    if (is_leaving_)
     {
-        said_->state = messages::upstream_leaving;
+        announced_->state = messages::upstream_leaving;
     }
-    if (record_.version() > 0 && before == said_->state &&
-        record_.service() == said.service.str() &&
-        record_.upstream_start() == said.start)
+    if (record_.version() > 0 && before == announced_->state &&
+        record_.service() == announced.service.str() &&
+        record_.upstream_start() == announced.start)
     {
         return upstream_change::none;
     }
-    record_.set_service(said.service.str());
-    record_.set_state(said_->state);
-    record_.set_upstream_start(said.start);
+    record_.set_service(announced.service.str());
+    record_.set_state(announced_->state);
+    record_.set_upstream_start(announced.start);
     record_.set_version(record_.version() + 1);
-    switch (said_->state)
+    switch (announced_->state)
     {
     case messages::upstream_serving:
         return upstream_change::appeared;
@@ -130,11 +132,11 @@
 upstream_change own_upstream::expire(time_point now)
 {
     const std::scoped_lock lock(mutex_);
-    if (!said_ || now - heard_ < announcement_limit)
+    if (!announced_ || now - last_announced_ < announcement_timeout)
     {
         return upstream_change::none;
     }
-    said_.reset();
+    announced_.reset();
     record_.set_state(messages::upstream_leaving);
     record_.set_version(record_.version() + 1);
     return upstream_change::lost;
@@ -146,7 +148,7 @@
     return record_.incarnation();
 }
 
-void own_upstream::go_before(std::uint64_t known_run)
+void own_upstream::supersede_run(std::uint64_t known_run)
 {
     const std::scoped_lock lock(mutex_);
     record_.set_incarnation(std::max(record_.incarnation(), known_run + 1));
@@ -155,10 +157,10 @@
 void own_upstream::leave()
 {
     const std::scoped_lock lock(mutex_);
-    left_ = true;
-    if (said_)
+    is_leaving_ = true;
+    if (announced_)
     {
-        said_->state = messages::upstream_leaving;
+        announced_->state = messages::upstream_leaving;
         record_.set_state(messages::upstream_leaving);
         record_.set_version(record_.version() + 1);
     }
@@ -167,7 +169,7 @@
 std::optional<announcement> own_upstream::current() const
 {
     const std::scoped_lock lock(mutex_);
-    return said_;
+    return announced_;
 }
 
 std::optional<messages::upstream_record> own_upstream::record() const
--- a/nutmegusher/node/own_upstream.hpp
+++ b/nutmegusher/node/own_upstream.hpp
@@ -16,7 +16,7 @@
 
 // Announcements are repeated at least every two seconds; after the third one
 // that is missed the upstream counts as gone.
-inline constexpr duration announcement_limit = std::chrono::seconds(6);
+inline constexpr duration announcement_timeout = std::chrono::seconds(6);
 
 // An announcement's body.
 struct announcement
@@ -50,7 +50,7 @@
     own_upstream(
         const host_settings& host, const endpoint& peers, incarnation run);
 
-    upstream_change announce(const announcement& said, time_point now);
+    upstream_change announce(const announcement& announced, time_point now);
 
     // Withdraws an upstream that has been silent for too long.
     upstream_change expire(time_point now);
@@ -63,7 +63,7 @@
     // has ended: the host's clock was set back. From now on this run goes
     // before it. Without this the daemon got no configuration until the lease
     // of the earlier run ended, six seconds.
-    void go_before(std::uint64_t known_run);
+    void supersede_run(std::uint64_t known_run);
 
     // The daemon itself stops: its upstream leaves, whatever it says.
     void leave();
@@ -77,9 +77,9 @@
 private:
     mutable std::mutex mutex_;
     messages::upstream_record record_;
-    std::optional<announcement> said_;
-    time_point heard_;
-    bool left_ = false;
+    std::optional<announcement> announced_;
+    time_point last_announced_;
+    bool is_leaving_ = false;
 };
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/own_upstream_test.cpp
+++ b/nutmegusher/node/own_upstream_test.cpp
@@ -10,7 +10,7 @@
 
 const endpoint peers(boost::asio::ip::make_address("127.0.0.1"), 8082);
 
-announcement said(messages::upstream_state state)
+announcement make_announcement(messages::upstream_state state)
 {
     announcement made;
     made.service = service_name("balances");
@@ -32,25 +32,29 @@
     auto upstream = make_upstream();
     EXPECT_FALSE(upstream.record());
     EXPECT_EQ(
-        upstream.announce(said(messages::upstream_serving), clock.now()),
+        upstream.announce(
+            make_announcement(messages::upstream_serving), clock.now()),
         upstream_change::appeared);
     EXPECT_EQ(upstream.record()->version(), 1U);
     EXPECT_EQ(
-        upstream.announce(said(messages::upstream_serving), clock.now()),
+        upstream.announce(
+            make_announcement(messages::upstream_serving), clock.now()),
         upstream_change::none);
     EXPECT_EQ(
-        upstream.announce(said(messages::upstream_leaving), clock.now()),
+        upstream.announce(
+            make_announcement(messages::upstream_leaving), clock.now()),
         upstream_change::leaving);
     EXPECT_EQ(upstream.record()->version(), 2U);
     EXPECT_TRUE(upstream.current());
 }
 
-TEST(own_upstream, a_silent_one_is_withdrawn_and_may_come_back)
+TEST(own_upstream, a_silent_upstream_is_withdrawn_and_may_return)
 {
     manual_clock clock;
     auto upstream = make_upstream();
-    upstream.announce(said(messages::upstream_serving), clock.now());
-    clock.advance(announcement_limit - std::chrono::milliseconds(1));
+    upstream.announce(
+        make_announcement(messages::upstream_serving), clock.now());
+    clock.advance(announcement_timeout - std::chrono::milliseconds(1));
     EXPECT_EQ(upstream.expire(clock.now()), upstream_change::none);
     clock.advance(std::chrono::milliseconds(1));
     EXPECT_EQ(upstream.expire(clock.now()), upstream_change::lost);
@@ -58,15 +62,16 @@
     EXPECT_EQ(upstream.record()->state(), messages::upstream_leaving);
     EXPECT_EQ(upstream.expire(clock.now()), upstream_change::none);
     EXPECT_EQ(
-        upstream.announce(said(messages::upstream_serving), clock.now()),
+        upstream.announce(
+            make_announcement(messages::upstream_serving), clock.now()),
         upstream_change::appeared);
 }
 
-TEST(own_upstream, a_new_start_is_told_to_others)
+TEST(own_upstream, a_new_start_increments_the_record_version)
 {
     manual_clock clock;
     auto upstream = make_upstream();
-    auto first = said(messages::upstream_serving);
+    auto first = make_announcement(messages::upstream_serving);
     first.start = 7;
     upstream.announce(first, clock.now());
     EXPECT_EQ(upstream.announce(first, clock.now()), upstream_change::none);
@@ -78,30 +83,33 @@
     EXPECT_EQ(upstream.record()->upstream_start(), 8U);
 }
 
-TEST(own_upstream, goes_before_a_run_that_a_clock_ahead_gave_a_higher_number)
+TEST(own_upstream, supersedes_a_run_numbered_higher_by_a_fast_clock)
 {
     manual_clock clock;
     auto upstream = make_upstream();
-    upstream.announce(said(messages::upstream_serving), clock.now());
+    upstream.announce(
+        make_announcement(messages::upstream_serving), clock.now());
     EXPECT_EQ(upstream.run(), 3U);
-    upstream.go_before(7);
+    upstream.supersede_run(7);
     EXPECT_EQ(upstream.run(), 8U);
     EXPECT_EQ(upstream.record()->incarnation(), 8U);
-    upstream.go_before(5);
+    upstream.supersede_run(5);
     EXPECT_EQ(upstream.run(), 8U);
 }
 
-TEST(own_upstream, stays_left_when_its_daemon_stops)
+TEST(own_upstream, stays_leaving_when_its_daemon_stops)
 {
     manual_clock clock;
     auto upstream = make_upstream();
-    upstream.announce(said(messages::upstream_serving), clock.now());
+    upstream.announce(
+        make_announcement(messages::upstream_serving), clock.now());
     upstream.leave();
-    upstream.announce(said(messages::upstream_serving), clock.now());
+    upstream.announce(
+        make_announcement(messages::upstream_serving), clock.now());
     EXPECT_EQ(upstream.record()->state(), messages::upstream_leaving);
 }
 
-std::string field_of(std::string_view text)
+std::string rejected_field(std::string_view text)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::string>
@@ -122,19 +130,21 @@
 TEST(parse_announcement, names_the_wrong_field)
 {
     EXPECT_EQ(
-        field_of(R"({"service":"s","address":"127.0.0.1:1",
+        rejected_field(R"({"service":"s","address":"127.0.0.1:1",
                      "state":"serving"})"),
         "(accepted)");
     EXPECT_EQ(
-        field_of(R"({"address":"127.0.0.1:1","state":"serving"})"), "service");
+        rejected_field(R"({"address":"127.0.0.1:1","state":"serving"})"),
+        "service");
     EXPECT_EQ(
-        field_of(R"({"service":"s","address":"h:1","state":"serving"})"),
+        rejected_field(R"({"service":"s","address":"h:1","state":"serving"})"),
         "address");
     EXPECT_EQ(
-        field_of(R"({"service":"s","address":"127.0.0.1:1","state":"up"})"),
+        rejected_field(
+            R"({"service":"s","address":"127.0.0.1:1","state":"up"})"),
         "state");
     EXPECT_EQ(
-        field_of(R"({"service":"a/b","address":"127.0.0.1:1",
+        rejected_field(R"({"service":"a/b","address":"127.0.0.1:1",
                      "state":"serving"})"),
         "service");
 }
--- a/nutmegusher/node/path_test.cpp
+++ b/nutmegusher/node/path_test.cpp
@@ -20,15 +20,15 @@
 asio::awaitable<std::string> body_of(caller_exchange& exchange)
 {
     std::string text;
-    std::array<std::byte, 4096> piece;
+    std::array<std::byte, 4096> chunk;
     while (true)
     {
-        const auto got = co_await exchange.read_some(piece);
-        if (!got || *got == 0)
+        const auto received = co_await exchange.read_some(chunk);
+        if (!received || *received == 0)
         {
             co_return text;
         }
-        text.append(reinterpret_cast<const char*>(piece.data()), *got);
+        text.append(reinterpret_cast<const char*>(chunk.data()), *received);
     }
 }
 
@@ -44,34 +44,35 @@
 {
 protected:
     path()
-        : entry("entry")
-        , beside("beside")
+        : entry_node("entry")
+        , upstream_node("beside")
     {
-        for (auto* node : {&entry, &beside})
+        for (auto* node : {&entry_node, &upstream_node})
         {
             declare(*node, make_class("views", "balances", true));
             declare(*node, make_class("payouts", "disbursement", false));
             node->shared.claims.update({}, {claims.address()});
         }
-        route_to(entry, "balances", {{"beside", beside.peers()}});
-        route_to(entry, "disbursement", {{"beside", beside.peers()}});
+        route_to(entry_node, "balances", {{"beside", upstream_node.peers()}});
+        route_to(
+            entry_node, "disbursement", {{"beside", upstream_node.peers()}});
     }
 
     void serve_with(http_handler handler, const std::string& service)
     {
         upstream = std::make_unique<fake_upstream>(std::move(handler));
-        announcement said;
-        said.service = service_name(service);
-        said.address = upstream->address();
-        beside.shared.upstream.announce(said, host_clock().now());
-        entry.start();
-        beside.start();
+        announcement announced;
+        announced.service = service_name(service);
+        announced.address = upstream->address();
+        upstream_node.shared.upstream.announce(announced, host_clock().now());
+        entry_node.start();
+        upstream_node.start();
     }
 
     client_answer pay(const std::string& key, const std::string& body = "7")
     {
         return request(
-            entry.callers(),
+            entry_node.callers(),
             "POST",
             "/disbursement/pay",
             {{"nutmeg-customer", "zakat"}, {"idempotency-key", key}},
@@ -80,15 +81,15 @@
 
     fake_claim_log claims;
     std::unique_ptr<fake_upstream> upstream;
-    test_node entry;
-    test_node beside;
+    test_node entry_node;
+    test_node upstream_node;
 };
 
 TEST_F(path, a_request_and_its_answer)
 {
     serve_with(echo, "balances");
     const auto answer =
-        request(entry.callers(), "POST", "/balances/all?x=1", {}, "hello");
+        request(entry_node.callers(), "POST", "/balances/all?x=1", {}, "hello");
     EXPECT_EQ(answer.status, 200U);
     EXPECT_EQ(answer.body, "hello");
     EXPECT_EQ(answer.field("x-path"), "/balances/all?x=1");
@@ -97,61 +98,61 @@
     EXPECT_TRUE(answer.whole);
 }
 
-TEST_F(path, what_is_wrong_with_a_request_is_told)
+TEST_F(path, malformed_requests_are_refused_with_a_reason)
 {
     serve_with(echo, "balances");
-    const auto at = entry.callers();
+    const auto at = entry_node.callers();
     EXPECT_EQ(request(at, "GET", "/nothing").status, 404U);
     const auto keyless = request(
         at, "POST", "/disbursement/pay", {{"nutmeg-customer", "zakat"}});
     EXPECT_EQ(keyless.status, 400U);
     EXPECT_EQ(keyless.field("nutmeg-reason"), "missing-key");
     EXPECT_EQ(keyless.field("nutmeg-outcome"), "not-run");
-    const auto nobody =
+    const auto without_customer =
         request(at, "POST", "/disbursement/pay", {{"idempotency-key", "k"}});
-    EXPECT_EQ(nobody.field("nutmeg-reason"), "missing-customer");
-    const auto late =
+    EXPECT_EQ(without_customer.field("nutmeg-reason"), "missing-customer");
+    const auto bad_timeout =
         request(at, "GET", "/balances/all", {{"nutmeg-timeout-ms", "soon"}});
-    EXPECT_EQ(late.field("nutmeg-reason"), "bad-header");
+    EXPECT_EQ(bad_timeout.field("nutmeg-reason"), "bad-header");
 }
 
 TEST_F(path, a_long_answer_streams_whole)
 {
-    const std::string piece(1 << 20, 'x');
+    const std::string chunk(1 << 20, 'x');
     const auto stream =
-        [&piece](caller_exchange& exchange) -> asio::awaitable<void>
+        [&chunk](caller_exchange& exchange) -> asio::awaitable<void>
     {
         wire::response_head head{200, {}};
         co_await exchange.begin_answer(std::move(head), std::nullopt);
         for (int i = 0; i < 50; ++i)
         {
-            co_await exchange.write_some(std::as_bytes(std::span(piece)));
+            co_await exchange.write_some(std::as_bytes(std::span(chunk)));
         }
         co_await exchange.end_answer();
     };
     serve_with(stream, "balances");
-    const auto answer = request(entry.callers(), "GET", "/balances/all");
+    const auto answer = request(entry_node.callers(), "GET", "/balances/all");
     EXPECT_TRUE(answer.whole);
-    EXPECT_EQ(answer.body.size(), 50 * piece.size());
+    EXPECT_EQ(answer.body.size(), 50 * chunk.size());
 }
 
 TEST_F(path, a_cut_long_answer_has_no_clean_end)
 {
-    const std::string piece(1 << 18, 'x');
+    const std::string chunk(1 << 18, 'x');
     const auto stream =
-        [&piece](caller_exchange& exchange) -> asio::awaitable<void>
+        [&chunk](caller_exchange& exchange) -> asio::awaitable<void>
     {
         wire::response_head head{200, {}};
         co_await exchange.begin_answer(std::move(head), 1U << 20U);
-        co_await exchange.write_some(std::as_bytes(std::span(piece)));
+        co_await exchange.write_some(std::as_bytes(std::span(chunk)));
     };
     serve_with(stream, "balances");
-    const auto answer = request(entry.callers(), "GET", "/balances/all");
+    const auto answer = request(entry_node.callers(), "GET", "/balances/all");
     EXPECT_EQ(answer.status, 200U);
     EXPECT_FALSE(answer.whole);
 }
 
-TEST_F(path, a_cut_short_answer_is_an_honest_error)
+TEST_F(path, a_cut_short_answer_becomes_an_error)
 {
     const auto cut = [](caller_exchange& exchange) -> asio::awaitable<void>
     {
@@ -161,7 +162,7 @@
         co_await exchange.write_some(std::as_bytes(std::span(some)));
     };
     serve_with(cut, "balances");
-    const auto answer = request(entry.callers(), "GET", "/balances/all");
+    const auto answer = request(entry_node.callers(), "GET", "/balances/all");
     EXPECT_EQ(answer.status, 502U);
     EXPECT_TRUE(answer.whole);
     EXPECT_NE(answer.field("nutmeg-outcome"), "completed");
@@ -222,7 +223,7 @@
     };
     serve_with(count, "disbursement");
     const auto answer = request(
-        entry.callers(),
+        entry_node.callers(),
         "POST",
         "/disbursement/pay",
         {{"nutmeg-customer", "zakat"},
@@ -235,7 +236,7 @@
 
 TEST_F(path, a_sub_call_shares_its_request)
 {
-    const auto calls_down =
+    const auto reports_request_context =
         [this](caller_exchange& exchange) -> asio::awaitable<void>
     {
         const auto& head = exchange.head();
@@ -248,14 +249,14 @@
               std::string(*wire::find_header(head.fields, "nutmeg-rank"))}}};
         co_await exchange.answer(std::move(answer), "");
     };
-    serve_with(calls_down, "balances");
-    const auto running = beside.shared.ledger.open(
+    serve_with(reports_request_context, "balances");
+    const auto running = upstream_node.shared.ledger.open(
         request_id("r1"),
         {4, host_clock().now() + std::chrono::seconds(5), {}, {}},
         retry_tokens::received(2));
-    route_to(beside, "balances", {{"beside", beside.peers()}});
+    route_to(upstream_node, "balances", {{"beside", upstream_node.peers()}});
     const auto answer = request(
-        beside.upstream_side(),
+        upstream_node.upstream_side(),
         "GET",
         "/balances/all",
         {{"nutmeg-request-id", "r1"}});
@@ -263,12 +264,12 @@
     EXPECT_EQ(answer.field("x-rank"), "4");
 }
 
-TEST_F(path, an_unknown_upstream_is_told_at_once)
+TEST_F(path, a_call_without_upstreams_is_refused_at_once)
 {
     serve_with(echo, "balances");
-    route_to(entry, "balances", {});
+    route_to(entry_node, "balances", {});
     const auto before = host_clock().now();
-    const auto answer = request(entry.callers(), "GET", "/balances/all");
+    const auto answer = request(entry_node.callers(), "GET", "/balances/all");
     EXPECT_EQ(answer.status, 503U);
     EXPECT_EQ(answer.field("nutmeg-reason"), "no-upstream");
     EXPECT_EQ(answer.field("nutmeg-outcome"), "not-run");
@@ -281,26 +282,27 @@
     serve_with(echo, "balances");
     test_node other("other");
     declare(other, make_class("views", "balances", true));
-    announcement said;
-    said.service = service_name("balances");
-    said.address = upstream->address();
-    other.shared.upstream.announce(said, host_clock().now());
+    announcement announced;
+    announced.service = service_name("balances");
+    announced.address = upstream->address();
+    other.shared.upstream.announce(announced, host_clock().now());
     other.start();
-    beside.shared.admission.set_leaving(true);
+    upstream_node.shared.admission.set_leaving(true);
     route_to(
-        entry,
+        entry_node,
         "balances",
-        {{"beside", beside.peers()}, {"other", other.peers()}});
+        {{"beside", upstream_node.peers()}, {"other", other.peers()}});
     for (int i = 0; i < 10; ++i)
     {
-        const auto answer = request(entry.callers(), "GET", "/balances/all");
+        const auto answer =
+            request(entry_node.callers(), "GET", "/balances/all");
         EXPECT_EQ(answer.status, 200U)
             << answer.field("nutmeg-reason") << " after "
             << answer.field("nutmeg-tries") << " tries, call " << i;
     }
 }
 
-TEST_F(path, not_run_is_not_said_after_a_try_that_may_have_run)
+TEST_F(path, not_run_is_not_reported_after_a_try_that_may_have_run)
 {
     std::atomic<int> runs = 0;
     const auto breaks_and_leaves =
@@ -308,10 +310,10 @@
     {
         co_await body_of(exchange);
         ++runs;
-        beside.shared.admission.set_leaving(true);
+        upstream_node.shared.admission.set_leaving(true);
     };
     serve_with(breaks_and_leaves, "balances");
-    const auto answer = request(entry.callers(), "GET", "/balances/all");
+    const auto answer = request(entry_node.callers(), "GET", "/balances/all");
     EXPECT_EQ(runs, 1);
     EXPECT_EQ(answer.field("nutmeg-outcome"), "unknown")
         << answer.field("nutmeg-reason") << " after "
@@ -351,14 +353,15 @@
     };
     serve_with(breaks, "balances");
     route_to(
-        entry,
+        entry_node,
         "balances",
-        {{"beside", beside.peers()}, {"silent", silent.local_endpoint()}});
+        {{"beside", upstream_node.peers()},
+         {"silent", silent.local_endpoint()}});
     for (int i = 0; i < 6; ++i)
     {
-        ask_and_hang_up(entry.callers(), runs);
+        ask_and_hang_up(entry_node.callers(), runs);
     }
-    EXPECT_EQ(request(entry.callers(), "GET", "/nothing").status, 404U);
+    EXPECT_EQ(request(entry_node.callers(), "GET", "/nothing").status, 404U);
 }
 
 TEST_F(path, parallel_callers_each_get_their_own_answer)
@@ -379,7 +382,11 @@
                         static_cast<std::size_t>(1 + i * 97),
                         static_cast<char>('a' + caller));
                     const auto answer = request(
-                        entry.callers(), "POST", "/balances/all", {}, body);
+                        entry_node.callers(),
+                        "POST",
+                        "/balances/all",
+                        {},
+                        body);
                     own = own && answer.whole && answer.body == body;
                 }
                 return own;
--- a/nutmegusher/node/peer_call.cpp
+++ b/nutmegusher/node/peer_call.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr std::size_t piece_bytes = 16384;
-constexpr std::uint8_t worst_rank = 9;
+constexpr std::size_t chunk_bytes = 16384;
+constexpr std::uint8_t max_rank = 9;
 
-std::string text_of(const wire::request_head& head, std::string_view name)
+std::string header_text(const wire::request_head& head, std::string_view name)
 {
     return std::string(wire::find_header(head.fields, name).value_or(""));
 }
@@ -23,69 +23,73 @@
 
 } // namespace
 
-outcome<peer_terms, call_reason>
-parse_terms(const wire::request_head& head, const configuration_view& classes)
+outcome<peer_metadata, call_reason> parse_peer_metadata(
+    const wire::request_head& head, const configuration_view& classes)
 {
-    peer_terms terms;
-    terms.request = request_id(text_of(head, field::request_id));
-    terms.work_class = class_name(text_of(head, field::class_name));
-    terms.customer = customer_id(text_of(head, field::customer));
-    terms.key = text_of(head, field::key);
-    const auto left = parse_milliseconds(text_of(head, field::timeout));
-    const auto rank = parse_count(text_of(head, field::rank));
-    const auto tokens = parse_count(text_of(head, field::retry_tokens));
-    const auto attempt = parse_attempt(text_of(head, field::attempt));
-    if (!left || !rank || !tokens || !attempt || terms.request.empty() ||
-        *rank > worst_rank)
+    peer_metadata metadata;
+    metadata.request = request_id(header_text(head, field::request_id));
+    metadata.work_class = class_name(header_text(head, field::class_name));
+    metadata.customer = customer_id(header_text(head, field::customer));
+    metadata.key = header_text(head, field::key);
+    const auto left = parse_milliseconds(header_text(head, field::timeout));
+    const auto rank = parse_count(header_text(head, field::rank));
+    const auto tokens = parse_count(header_text(head, field::retry_tokens));
+    const auto attempt = parse_attempt(header_text(head, field::attempt));
+    if (!left || !rank || !tokens || !attempt || metadata.request.empty() ||
+        *rank > max_rank)
     {
         return call_reason::bad_header;
     }
-    terms.deadline = host_clock().now() + *left;
-    terms.rank = static_cast<std::uint8_t>(*rank);
-    terms.tokens = *tokens;
-    terms.attempt = *attempt;
+    metadata.deadline = host_clock().now() + *left;
+    metadata.rank = static_cast<std::uint8_t>(*rank);
+    metadata.tokens = *tokens;
+    metadata.attempt = *attempt;
     // The stricter of what the entry daemon knows and what is known here: the
     // two may run different revisions for a moment.
-    const auto* const declared = classes.find(terms.work_class);
-    terms.target = declared == nullptr ? duration::zero() : declared->target;
-    const bool said = text_of(head, field::repeatable) == "yes";
-    terms.repeatable = said && (declared == nullptr || declared->repeatable);
-    terms.bulk = text_of(head, field::bulk) == "yes";
-    if (!terms.repeatable && !is_token(terms.key))
+    const auto* const declared = classes.find(metadata.work_class);
+    metadata.target = declared == nullptr ? duration::zero() : declared->target;
+    const bool declared_repeatable =
+        header_text(head, field::repeatable) == "yes";
+    metadata.repeatable =
+        declared_repeatable && (declared == nullptr || declared->repeatable);
+    metadata.bulk = header_text(head, field::bulk) == "yes";
+    if (!metadata.repeatable && !is_token(metadata.key))
     {
         return call_reason::missing_key;
     }
-    return terms;
+    return metadata;
 }
 
-asio::awaitable<bool> read_body(peer_call& call, std::size_t most)
+asio::awaitable<bool> read_body(peer_call& call, std::size_t max_bytes)
 {
-    std::array<std::byte, piece_bytes> piece;
-    while (call.body.size() <= most)
+    std::array<std::byte, chunk_bytes> chunk;
+    while (call.body.size() <= max_bytes)
     {
-        const auto got = co_await call.stream->read_some(piece);
-        if (!got)
+        const auto received = co_await call.stream->read_some(chunk);
+        if (!received)
         {
             co_return false;
         }
-        if (*got == 0)
+        if (*received == 0)
         {
             call.body_complete = true;
             co_return true;
         }
-        call.body.append(reinterpret_cast<const char*>(piece.data()), *got);
+        call.body.append(
+            reinterpret_cast<const char*>(chunk.data()), *received);
     }
     co_return true;
 }
 
-void peer_call::complete_head(wire::response_head& head)
+void peer_call::add_feedback(wire::response_head& head)
 {
-    const auto left = running ? running->finish().send() : terms.tokens;
+    const auto left = running ? running->finish().send() : metadata.tokens;
     running.reset();
     add(head, field::retry_tokens, std::to_string(left));
     const answer_levels levels{
-        here.shared.admission.level(),
-        here.shared.pressure.deeper_for(stable_hash(terms.work_class.str()))};
+        owner.shared.admission.level(),
+        owner.shared.pressure.deeper_for(
+            stable_hash(metadata.work_class.str()))};
     add(head, field::admission_level, format_levels(levels));
 }
 
@@ -96,37 +100,40 @@
         co_return;
     }
     answered = true;
-    here.shared.measured.refused(
+    owner.shared.request_metrics.refused(
         call_side::upstream,
-        terms.work_class,
+        metadata.work_class,
         refused.reason,
         refused.result,
         1);
     auto head = to_head(refused);
-    complete_head(head);
+    add_feedback(head);
     co_await stream->write_head(std::move(head), true);
 }
 
-asio::awaitable<void> peer_call::send(whole_answer whole)
+asio::awaitable<void> peer_call::send(buffered_answer buffered)
 {
     if (answered)
     {
         co_return;
     }
     answered = true;
-    here.shared.measured.completed(
-        call_side::upstream, terms.work_class, host_clock().now() - arrived, 1);
-    add(whole.head,
+    owner.shared.request_metrics.completed(
+        call_side::upstream,
+        metadata.work_class,
+        host_clock().now() - arrived,
+        1);
+    add(buffered.head,
         field::outcome,
         std::string(to_string(call_outcome::completed)));
-    add(whole.head, "content-length", std::to_string(whole.body.size()));
-    complete_head(whole.head);
-    const bool bodiless = whole.body.empty();
+    add(buffered.head, "content-length", std::to_string(buffered.body.size()));
+    add_feedback(buffered.head);
+    const bool bodiless = buffered.body.empty();
     const auto begun =
-        co_await stream->write_head(std::move(whole.head), bodiless);
+        co_await stream->write_head(std::move(buffered.head), bodiless);
     if (begun && !bodiless)
     {
-        const auto bytes = std::as_bytes(std::span(whole.body));
+        const auto bytes = std::as_bytes(std::span(buffered.body));
         co_await stream->write(bytes, true);
     }
 }
--- a/nutmegusher/node/peer_call.hpp
+++ b/nutmegusher/node/peer_call.hpp
@@ -20,12 +20,12 @@
 {
     bool requested = false;
     // The caller is still there and gets a final answer: the process ends.
-    bool is_answer_owed = false;
+    bool expects_answer = false;
     std::function<void()> stop;
 };
 
 // What the entry daemon sent along.
-struct peer_terms
+struct peer_metadata
 {
     request_id request;
     class_name work_class;
@@ -42,7 +42,7 @@
 };
 
 // A whole answer, or where a long one comes from.
-struct whole_answer
+struct buffered_answer
 {
     wire::response_head head;
     std::string body;
@@ -50,19 +50,19 @@
 
 struct peer_call
 {
-    peer_call(worker& here, std::shared_ptr<wire::server_stream> stream)
-        : here(here)
+    peer_call(worker& owner, std::shared_ptr<wire::server_stream> stream)
+        : owner(owner)
         , stream(std::move(stream))
         , cancelled(std::make_shared<cancellation>())
         , arrived(host_clock().now())
     {
     }
 
-    worker& here;
+    worker& owner;
     std::shared_ptr<wire::server_stream> stream;
     std::shared_ptr<cancellation> cancelled;
     time_point arrived;
-    peer_terms terms;
+    peer_metadata metadata;
     // The request's body, or its first part.
     std::string body;
     bool body_complete = false;
@@ -73,32 +73,32 @@
     // the upstream. Calls after the first one do nothing.
     std::function<void()> release_slot = [] {};
     // Calls that may not be repeated are answered by their claim.
-    std::optional<whole_answer> answer;
+    std::optional<buffered_answer> answer;
     std::optional<upstream_failure> failure;
     bool answered = false;
 
     [[nodiscard]] duration time_left() const
     {
-        return terms.deadline - host_clock().now();
+        return metadata.deadline - host_clock().now();
     }
 
     // Adds what every answer to a peer carries: tokens and admission level.
-    void complete_head(wire::response_head& head);
+    void add_feedback(wire::response_head& head);
 
     // Answers with a refusal; does nothing where an answer was begun.
     asio::awaitable<void> refuse(refusal refused);
 
     // Answers with a whole answer of the upstream.
-    asio::awaitable<void> send(whole_answer whole);
+    asio::awaitable<void> send(buffered_answer buffered);
 };
 
 // Reads the terms; the reason of a refusal where they are malformed.
-[[nodiscard]] outcome<peer_terms, call_reason>
-parse_terms(const wire::request_head& head, const configuration_view& classes);
+[[nodiscard]] outcome<peer_metadata, call_reason> parse_peer_metadata(
+    const wire::request_head& head, const configuration_view& classes);
 
-// Reads the body until its end or until `most` bytes are kept. False: the
+// Reads the body until its end or until `max_bytes` bytes are kept. False: the
 // peer has gone.
-asio::awaitable<bool> read_body(peer_call& call, std::size_t most);
+asio::awaitable<bool> read_body(peer_call& call, std::size_t max_bytes);
 
 } // namespace nutmegusher::node
 
--- a/nutmegusher/node/pressure_controller.cpp
+++ b/nutmegusher/node/pressure_controller.cpp
@@ -12,12 +12,12 @@
     }
     auto& shard = shard_of(call.work_class);
     const std::scoped_lock lock(shard.mutex);
-    auto no = shard.gate.check(call, host_clock().now());
-    if (no)
+    auto rejection = shard.gate.check(call, host_clock().now());
+    if (rejection)
     {
-        no->retry_after = jittered(no->retry_after, engine);
+        rejection->retry_after = jittered(rejection->retry_after, engine);
     }
-    return no;
+    return rejection;
 }
 
 void pressure_controller::on_level(
@@ -48,9 +48,9 @@
 {
     auto& shard = shard_of(work_class);
     const std::scoped_lock lock(shard.mutex);
-    const bool again =
+    const bool is_repeat =
         key_hash != 0 && shard.keys.is_repeated(key_hash, host_clock().now());
-    return shard.budgets[work_class].begin(again);
+    return shard.budgets[work_class].begin(is_repeat);
 }
 
 void pressure_controller::end_request(
--- a/nutmegusher/node/route_controller.cpp
+++ b/nutmegusher/node/route_controller.cpp
@@ -20,7 +20,7 @@
     mutable std::mutex mutex;
     router route;
     std::unordered_map<host_id, endpoint> addresses;
-    bool known = false;
+    bool is_known = false;
     // For the naive baseline.
     std::size_t next = 0;
 
@@ -48,8 +48,8 @@
 }
 
 route_controller::route_controller(
-    const host_settings& here, bool naive, router_options options)
-    : here_(here)
+    const host_settings& local_host, bool naive, router_options options)
+    : local_host_(local_host)
     , naive_(naive)
     , options_(options)
 {
@@ -80,11 +80,11 @@
 network_distance
 route_controller::distance_to(const messages::upstream_record& record) const
 {
-    if (record.data_center() == here_.data_center.str())
+    if (record.data_center() == local_host_.data_center.str())
     {
         return network_distance::same_data_center;
     }
-    return record.region() == here_.region.str()
+    return record.region() == local_host_.region.str()
                ? network_distance::same_region
                : network_distance::other_region;
 }
@@ -114,10 +114,10 @@
     const std::scoped_lock lock(routes->mutex);
     routes->route.update(candidates, host_clock().now());
     routes->addresses = std::move(addresses);
-    routes->known = true;
+    routes->is_known = true;
 }
 
-bool route_controller::want(const service_name& service)
+bool route_controller::request_routes(const service_name& service)
 {
     const std::scoped_lock lock(mutex_);
     auto& entry = services_[service];
@@ -129,7 +129,7 @@
     return true;
 }
 
-std::vector<service_name> route_controller::wanted() const
+std::vector<service_name> route_controller::requested_services() const
 {
     const std::scoped_lock lock(mutex_);
     std::vector<service_name> names;
@@ -140,7 +140,7 @@
     return names;
 }
 
-bool route_controller::known(const service_name& service) const
+bool route_controller::is_known(const service_name& service) const
 {
     const auto routes = find(service);
     if (!routes)
@@ -148,7 +148,7 @@
         return false;
     }
     const std::scoped_lock lock(routes->mutex);
-    return routes->known;
+    return routes->is_known;
 }
 
 std::optional<route> route_controller::start(
@@ -179,7 +179,7 @@
 
 void route_controller::end(
     const service_name& service,
-    upstream_handle at,
+    upstream_handle upstream,
     bool bulk,
     try_end how,
     duration elapsed)
@@ -194,39 +194,41 @@
     switch (how)
     {
     case try_end::answer:
-        routes->route.on_answer(at, bulk, elapsed, now);
+        routes->route.on_answer(upstream, bulk, elapsed, now);
         break;
     case try_end::failure:
-        routes->route.on_failure(at, bulk, now);
+        routes->route.on_failure(upstream, bulk, now);
         break;
     case try_end::silence:
-        routes->route.on_silent(at, bulk, now);
+        routes->route.on_silent(upstream, bulk, now);
         break;
     case try_end::leaving:
-        routes->route.on_leaving(at, bulk, now);
+        routes->route.on_leaving(upstream, bulk, now);
         break;
-    case try_end::gone:
-        routes->route.on_address_reused(at, bulk, now);
+    case try_end::address_reused:
+        routes->route.on_address_reused(upstream, bulk, now);
         break;
     case try_end::neutral:
-        routes->route.on_neutral(at, bulk, now);
+        routes->route.on_neutral(upstream, bulk, now);
         break;
     }
 }
 
 void route_controller::on_load(
-    const service_name& service, upstream_handle at, const upstream_load& load)
+    const service_name& service,
+    upstream_handle upstream,
+    const upstream_load& load)
 {
     if (const auto routes = find(service))
     {
         const std::scoped_lock lock(routes->mutex);
-        routes->route.on_load(at, load, host_clock().now());
+        routes->route.on_load(upstream, load, host_clock().now());
     }
 }
 
 admission_level route_controller::on_levels(
     const service_name& service,
-    upstream_handle at,
+    upstream_handle upstream,
     const answer_levels& levels,
     bool bulk)
 {
@@ -237,12 +239,12 @@
     }
     const std::scoped_lock lock(routes->mutex);
     const auto now = host_clock().now();
-    routes->route.on_level(at, levels.own, now);
+    routes->route.on_level(upstream, levels.own, now);
     return call_path_level(routes->route, levels, bulk, now);
 }
 
 std::optional<duration> route_controller::try_timeout(
-    const service_name& service, upstream_handle at, bool bulk) const
+    const service_name& service, upstream_handle upstream, bool bulk) const
 {
     const auto routes = find(service);
     if (!routes || naive_)
@@ -250,7 +252,7 @@
         return std::nullopt;
     }
     const std::scoped_lock lock(routes->mutex);
-    return routes->route.try_timeout(at, bulk);
+    return routes->route.try_timeout(upstream, bulk);
 }
 
 bool route_controller::should_try_elsewhere(
@@ -284,7 +286,7 @@
 json::value route_controller::dump() const
 {
     json::object services;
-    for (const auto& service : wanted())
+    for (const auto& service : requested_services())
     {
         const auto routes = find(service);
         json::array upstreams;
--- a/nutmegusher/node/route_controller.hpp
+++ b/nutmegusher/node/route_controller.hpp
@@ -39,7 +39,7 @@
     silence,
     leaving,
     // Another upstream is at its address.
-    gone,
+    address_reused,
     neutral
 };
 
@@ -48,7 +48,9 @@
 public:
     // `options`: of the router of each service.
     route_controller(
-        const host_settings& here, bool naive, router_options options = {});
+        const host_settings& local_host,
+        bool naive,
+        router_options options = {});
     route_controller(const route_controller&) = delete;
     route_controller& operator=(const route_controller&) = delete;
     ~route_controller();
@@ -60,12 +62,12 @@
 
     // Notes that the service is called here. True at the first time: its
     // upstreams must be asked for.
-    bool want(const service_name& service);
+    bool request_routes(const service_name& service);
 
-    [[nodiscard]] std::vector<service_name> wanted() const;
+    [[nodiscard]] std::vector<service_name> requested_services() const;
 
     // Whether upstreams of the service were ever told.
-    [[nodiscard]] bool known(const service_name& service) const;
+    [[nodiscard]] bool is_known(const service_name& service) const;
 
     // Chooses and counts the try as started; `end` must follow.
     [[nodiscard]] std::optional<route> start(
@@ -76,7 +78,7 @@
 
     void
     end(const service_name& service,
-        upstream_handle at,
+        upstream_handle upstream,
         bool bulk,
         try_end how,
         duration elapsed);
@@ -84,21 +86,21 @@
     // The upstream's own word on its load that came with an answer.
     void on_load(
         const service_name& service,
-        upstream_handle at,
+        upstream_handle upstream,
         const upstream_load& load);
 
     // The levels that came with an answer. Gives what lies ahead of calls of
     // its class: the service as a whole, and what is below it.
     admission_level on_levels(
         const service_name& service,
-        upstream_handle at,
+        upstream_handle upstream,
         const answer_levels& levels,
         bool bulk);
 
     // After this long without an answer another upstream may be worth a try;
     // nothing where none is known to be faster.
     [[nodiscard]] std::optional<duration> try_timeout(
-        const service_name& service, upstream_handle at, bool bulk) const;
+        const service_name& service, upstream_handle upstream, bool bulk) const;
 
     // Whether it is, now.
     [[nodiscard]] bool should_try_elsewhere(
@@ -123,7 +125,7 @@
     [[nodiscard]] network_distance
     distance_to(const messages::upstream_record& record) const;
 
-    const host_settings here_;
+    const host_settings local_host_;
     const bool naive_;
     const router_options options_;
     mutable std::mutex mutex_;
--- a/nutmegusher/node/sync_client.cpp
+++ b/nutmegusher/node/sync_client.cpp
@@ -143,7 +143,7 @@
             {{"run", request.incarnation()},
              {"known", reply->known_incarnation()},
              {"control_host", target.address}});
-        here_.shared.upstream.go_before(reply->known_incarnation());
+        here_.shared.upstream.supersede_run(reply->known_incarnation());
     }
     // One that isn't current still knows leases, but may have missed changes.
     if (is_current)
@@ -321,7 +321,7 @@
 
 messages::sync_request sync_client::make_request(bool may_wait)
 {
-    for (const auto& service : here_.shared.routes.wanted())
+    for (const auto& service : here_.shared.routes.requested_services())
     {
         view_.add_service(service);
     }
--- a/nutmegusher/node/test_deployment.cpp
+++ b/nutmegusher/node/test_deployment.cpp
@@ -255,7 +255,7 @@
         record.set_address(text.str());
         record.set_state(messages::upstream_serving);
     }
-    node.shared.routes.want(service_name(service));
+    node.shared.routes.request_routes(service_name(service));
     node.shared.routes.update(service_name(service), records);
 }
 
--- a/nutmegusher/node/upstream_chain.cpp
+++ b/nutmegusher/node/upstream_chain.cpp
@@ -21,15 +21,15 @@
     template <class Next>
     asio::awaitable<void> operator()(peer_call& call, Next next)
     {
-        request_context terms;
-        terms.rank = call.terms.rank;
-        terms.deadline = call.terms.deadline;
-        terms.customer = call.terms.customer;
-        terms.work_class = call.terms.work_class;
-        call.running.emplace(call.here.shared.ledger.open(
-            call.terms.request,
-            std::move(terms),
-            retry_tokens::received(call.terms.tokens)));
+        request_context metadata;
+        metadata.rank = call.metadata.rank;
+        metadata.deadline = call.metadata.deadline;
+        metadata.customer = call.metadata.customer;
+        metadata.work_class = call.metadata.work_class;
+        call.running.emplace(call.owner.shared.ledger.open(
+            call.metadata.request,
+            std::move(metadata),
+            retry_tokens::received(call.metadata.tokens)));
         co_await next();
     }
 };
@@ -40,14 +40,15 @@
     template <class Next>
     asio::awaitable<void> operator()(peer_call& call, Next next)
     {
-        const auto& limits = call.here.shared.configured.limits;
-        const auto most = call.terms.repeatable ? limits.buffered_body_bytes
-                                                : limits.claimed_body_bytes;
-        if (!co_await read_body(call, most))
+        const auto& limits = call.owner.shared.configured.limits;
+        const auto max_bytes = call.metadata.repeatable
+                                   ? limits.buffered_body_bytes
+                                   : limits.claimed_body_bytes;
+        if (!co_await read_body(call, max_bytes))
         {
             co_return;
         }
-        if (!call.terms.repeatable && !call.body_complete)
+        if (!call.metadata.repeatable && !call.body_complete)
         {
             const refusal refused{call_reason::too_large};
             co_await call.refuse(refused);
@@ -80,27 +81,29 @@
     template <class Next>
     asio::awaitable<void> operator()(peer_call& call, Next next)
     {
-        auto& gate = call.here.shared.admission;
-        const auto facts = facts_of(call, gate.next_ticket());
-        const auto ticket = facts.ticket;
+        auto& gate = call.owner.shared.admission;
+        const auto info = make_call_info(call, gate.next_ticket());
+        const auto ticket = info.ticket;
         call.cancelled->stop = [&gate, ticket]
         {
             gate.cancel(ticket);
         };
-        const auto verdict = co_await gate.enter(facts);
+        const auto verdict = co_await gate.enter(info);
         call.cancelled->stop = nullptr;
-        if (const auto* no = std::get_if<refused>(&verdict))
+        if (const auto* rejection = std::get_if<refused>(&verdict))
         {
             const refusal refused{
-                to_reason(no->reason), call_outcome::not_run, no->retry_after};
+                to_reason(rejection->reason),
+                call_outcome::not_run,
+                rejection->retry_after};
             co_await call.refuse(refused);
             co_return;
         }
-        if (std::holds_alternative<gone>(verdict))
+        if (std::holds_alternative<caller_left>(verdict))
         {
             co_return;
         }
-        slot held(call, facts);
+        slot held(call, info);
         call.release_slot = [&held]
         {
             held.release_now();
@@ -117,12 +120,12 @@
     class slot
     {
     public:
-        slot(peer_call& call, const call_info& facts)
+        slot(peer_call& call, const call_info& info)
             : call_(call)
-            , facts_(facts)
-            , deadline_(call.here.context)
+            , info_(info)
+            , deadline_(call.owner.context)
         {
-            deadline_.expires_at(facts.deadline);
+            deadline_.expires_at(info.deadline);
             std::weak_ptr<slot*> weak = alive_;
             deadline_.async_wait(
                 [weak](boost::system::error_code)
@@ -152,39 +155,39 @@
         {
             if (!std::exchange(released_, true))
             {
-                call_.here.shared.admission.finish(facts_, result);
+                call_.owner.shared.admission.finish(info_, result);
             }
         }
 
         peer_call& call_;
-        call_info facts_;
+        call_info info_;
         asio::steady_timer deadline_;
         std::shared_ptr<slot*> alive_ = std::make_shared<slot*>(this);
         bool released_ = false;
     };
 
-    static call_info facts_of(const peer_call& call, ticket_id ticket)
+    static call_info make_call_info(const peer_call& call, ticket_id ticket)
     {
-        call_info facts;
-        facts.ticket = ticket;
-        facts.rank = call.terms.rank;
-        facts.customer = stable_hash(call.terms.customer.str());
-        facts.work_class = stable_hash(call.terms.work_class.str());
-        facts.request = stable_hash(call.terms.request.str());
-        facts.deadline = call.terms.deadline;
-        facts.target = call.terms.target;
-        facts.bulk = call.terms.bulk;
-        facts.repeatable = call.terms.repeatable;
-        return facts;
+        call_info info;
+        info.ticket = ticket;
+        info.rank = call.metadata.rank;
+        info.customer = stable_hash(call.metadata.customer.str());
+        info.work_class = stable_hash(call.metadata.work_class.str());
+        info.request = stable_hash(call.metadata.request.str());
+        info.deadline = call.metadata.deadline;
+        info.target = call.metadata.target;
+        info.bulk = call.metadata.bulk;
+        info.repeatable = call.metadata.repeatable;
+        return info;
     }
 };
 
 } // namespace
 
 asio::awaitable<void>
-serve_peer_call(worker& here, std::shared_ptr<wire::server_stream> stream)
+serve_peer_call(worker& owner, std::shared_ptr<wire::server_stream> stream)
 {
-    peer_call call(here, std::move(stream));
+    peer_call call(owner, std::move(stream));
     std::weak_ptr<cancellation> weak = call.cancelled;
     call.stream->on_cancelled(
         [weak]
@@ -200,15 +203,15 @@
                 shared->stop();
             }
         });
-    const auto view = here.shared.configuration.current();
-    auto terms = parse_terms(call.stream->head(), *view);
-    if (!terms)
+    const auto view = owner.shared.configuration.current();
+    auto metadata = parse_peer_metadata(call.stream->head(), *view);
+    if (!metadata)
     {
-        const refusal refused{terms.error()};
+        const refusal refused{metadata.error()};
         co_await call.refuse(refused);
         co_return;
     }
-    call.terms = *std::move(terms);
+    call.metadata = *std::move(metadata);
     ledger_filter ledger;
     body_filter body;
     admission_filter admission;
--- a/nutmegusher/node/upstream_chain.hpp
+++ b/nutmegusher/node/upstream_chain.hpp
@@ -16,7 +16,7 @@
 // Serves one stream of another daemon. Every call ends in a whole answer, a
 // refusal, or a reset stream.
 asio::awaitable<void>
-serve_peer_call(worker& here, std::shared_ptr<wire::server_stream> stream);
+serve_peer_call(worker& owner, std::shared_ptr<wire::server_stream> stream);
 
 } // namespace nutmegusher::node
 
--- a/nutmegusher/node/upstream_client.cpp
+++ b/nutmegusher/node/upstream_client.cpp
@@ -31,23 +31,23 @@
 
 // The upstream stands on the same host: a connection that takes longer isn't
 // accepted at all.
-constexpr duration connect_limit = std::chrono::milliseconds(500);
+constexpr duration connect_timeout = std::chrono::milliseconds(500);
 // Servers close idle connections after seconds; one used within this time is
 // still open unless the server has stopped.
-constexpr duration fresh_for = std::chrono::milliseconds(500);
-constexpr duration idle_for = std::chrono::seconds(4);
+constexpr duration max_fresh_idle = std::chrono::milliseconds(500);
+constexpr duration default_idle_timeout = std::chrono::seconds(4);
 // Kept back from the time that an upstream says it keeps a connection: the
 // request must arrive before the upstream closes.
 constexpr duration idle_margin = std::chrono::seconds(1);
 // Answers to earlier requests that may stand before the awaited one; an
 // upstream that sends more is out of step for good.
-constexpr int most_skipped_answers = 2;
-constexpr std::size_t most_idle = 256;
+constexpr int max_skipped_answers = 2;
+constexpr std::size_t max_idle_connections = 256;
 // Whether an upstream has ended shows within so many connections and so long
 // after each.
-constexpr int most_probes = 3;
-constexpr duration probe_pause = std::chrono::milliseconds(5);
-constexpr std::uint32_t answer_header_bytes = 65536;
+constexpr int max_probes = 3;
+constexpr duration probe_delay = std::chrono::milliseconds(5);
+constexpr std::uint32_t max_answer_header_bytes = 65536;
 // Room for a head and most of the users' answers (1.5 to 5 KB): without it
 // Beast reads 512 bytes at a time, and an answer of 1.5 KB took five reads with
 // a poll of the sockets after each, 19 system calls in all.
@@ -86,21 +86,21 @@
 bool still_open(tcp::socket& socket)
 {
     char probe = 0;
-    const auto got =
+    const auto received =
         ::recv(socket.native_handle(), &probe, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 struct idle_connection
 {
     std::unique_ptr<beast::tcp_stream> stream;
     tcp::endpoint address;
-    time_point since;
-    duration kept_for{idle_for};
+    time_point idle_since;
+    duration idle_timeout{default_idle_timeout};
 };
 
-// "timeout=10, max=5" in seconds; what isn't told is `idle_for`.
-duration kept_open_for(std::string_view keep_alive)
+// "timeout=10, max=5" in seconds; what isn't told is `default_idle_timeout`.
+duration parse_keep_alive(std::string_view keep_alive)
 {
     constexpr std::string_view key = "timeout=";
     const auto at = keep_alive.find(key);
@@ -112,7 +112,7 @@
         std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
     if (code != std::errc() || rest == digits.data())
     {
-        return idle_for;
+        return default_idle_timeout;
     }
     return std::max<duration>(
         std::chrono::seconds(seconds) - idle_margin, duration::zero());
@@ -131,7 +131,7 @@
     }
 
     std::unique_ptr<beast::tcp_stream>
-    take(const tcp::endpoint& address, duration most_age)
+    take(const tcp::endpoint& address, duration max_idle_time)
     {
         const auto now = host_clock().now();
         while (!idle.empty())
@@ -139,8 +139,8 @@
             auto last = std::move(idle.back());
             idle.pop_back();
             const bool usable = last.address == address &&
-                                now - last.since <= most_age &&
-                                now - last.since < last.kept_for &&
+                                now - last.idle_since <= max_idle_time &&
+                                now - last.idle_since < last.idle_timeout &&
                                 still_open(last.stream->socket());
             if (usable)
             {
@@ -164,14 +164,14 @@
     void
     put(std::unique_ptr<beast::tcp_stream> stream,
         const tcp::endpoint& address,
-        duration kept_for)
+        duration idle_timeout)
     {
-        if (idle.size() >= most_idle)
+        if (idle.size() >= max_idle_connections)
         {
             idle.erase(idle.begin());
         }
         idle.push_back(
-            {std::move(stream), address, host_clock().now(), kept_for});
+            {std::move(stream), address, host_clock().now(), idle_timeout});
     }
 
     asio::io_context& context;
@@ -191,9 +191,9 @@
     std::string body;
     std::string echoed_field;
     std::string echoed_value;
-    duration kept_for{idle_for};
+    duration idle_timeout{default_idle_timeout};
     // Nothing of another request stood before the answer.
-    bool in_step = true;
+    bool in_sync = true;
     bool request_done = false;
     bool cancelled = false;
 
@@ -277,7 +277,7 @@
         });
 }
 
-bool belongs_to_another(const internal::upstream_call_state& call)
+bool is_for_other_request(const internal::upstream_call_state& call)
 {
     const auto found = call.parser->get().find(call.echoed_field);
     return !call.echoed_field.empty() && found != call.parser->get().end() &&
@@ -288,12 +288,12 @@
 asio::awaitable<boost::system::error_code>
 skip_body(internal::upstream_call_state& call)
 {
-    std::array<char, 4096> piece;
+    std::array<char, 4096> chunk;
     while (!call.parser->is_done())
     {
         auto& body = call.parser->get().body();
-        body.data = piece.data();
-        body.size = piece.size();
+        body.data = chunk.data();
+        body.size = chunk.size();
         auto [failed, size] = co_await http::async_read_some(
             *call.stream, call.buffer, *call.parser, as_tuple_awaitable);
         if (failed && failed != http::error::need_buffer)
@@ -306,8 +306,7 @@
 
 // Gives the parser what has been read with the head, without another turn of
 // the scheduler: that is all of most answers.
-boost::system::error_code
-parse_what_is_here(internal::upstream_call_state& call)
+boost::system::error_code parse_buffered(internal::upstream_call_state& call)
 {
     boost::system::error_code failed;
     if (call.buffer.size() > 0)
@@ -323,7 +322,7 @@
 read_one_head(internal::upstream_call_state& call)
 {
     call.parser.emplace();
-    call.parser->header_limit(answer_header_bytes);
+    call.parser->header_limit(max_answer_header_bytes);
     call.parser->body_limit(boost::none);
     if (call.request.method() == http::verb::head)
     {
@@ -367,11 +366,11 @@
 {
     auto& call = *state_;
     auto failed = co_await read_one_head(call);
-    for (int skipped = 0; !failed && belongs_to_another(call); ++skipped)
+    for (int skipped = 0; !failed && is_for_other_request(call); ++skipped)
     {
-        call.in_step = false;
+        call.in_sync = false;
         failed = co_await skip_body(call);
-        if (skipped == most_skipped_answers)
+        if (skipped == max_skipped_answers)
         {
             co_return upstream_failure::malformed;
         }
@@ -389,7 +388,7 @@
     {
         co_return upstream_failure::malformed;
     }
-    call.kept_for = kept_open_for(answer[http::field::keep_alive]);
+    call.idle_timeout = parse_keep_alive(answer[http::field::keep_alive]);
     wire::response_head head;
     head.status = answer.result_int();
     for (const auto& field : answer)
@@ -423,7 +422,7 @@
     {
         body.data = into.data();
         body.size = into.size();
-        auto failed = parse_what_is_here(call);
+        auto failed = parse_buffered(call);
         if (!failed && body.size == into.size() && !call.parser->is_done())
         {
             std::tie(failed, std::ignore) = co_await http::async_read_some(
@@ -433,16 +432,16 @@
         {
             co_return call.failure_of(failed);
         }
-        if (const auto got = into.size() - body.size; got > 0)
+        if (const auto received = into.size() - body.size; received > 0)
         {
-            co_return got;
+            co_return received;
         }
     }
-    if (call.stream && call.request_done && call.in_step &&
+    if (call.stream && call.request_done && call.in_sync &&
         call.parser->keep_alive() && call.buffer.size() == 0)
     {
         call.stream->expires_never();
-        call.pool->put(std::move(call.stream), call.address, call.kept_for);
+        call.pool->put(std::move(call.stream), call.address, call.idle_timeout);
     }
     co_return std::size_t{0};
 }
@@ -474,10 +473,10 @@
     {
         co_return true;
     }
-    for (int i = 0; i < most_probes; ++i)
+    for (int i = 0; i < max_probes; ++i)
     {
         beast::tcp_stream probe(state_->context);
-        probe.expires_after(connect_limit);
+        probe.expires_after(connect_timeout);
         auto [failed] =
             co_await probe.async_connect(address, as_tuple_awaitable);
         if (failed)
@@ -487,7 +486,7 @@
         // A process that ends closes its listener and its connections one after
         // the other: one that was taken meanwhile is closed at once.
         asio::steady_timer pause(state_->context);
-        pause.expires_after(probe_pause);
+        pause.expires_after(probe_delay);
         co_await pause.async_wait(as_tuple_awaitable);
         if (still_open(probe.socket()))
         {
@@ -505,11 +504,13 @@
     call->pool = state_;
     call->address = address;
     call->stream = state_->take(
-        address, request.needs_fresh_connection ? fresh_for : idle_for);
+        address,
+        request.needs_fresh_connection ? max_fresh_idle : default_idle_timeout);
     if (!call->stream)
     {
         call->stream = std::make_unique<beast::tcp_stream>(state_->context);
-        call->stream->expires_after(std::min(connect_limit, request.time_left));
+        call->stream->expires_after(
+            std::min(connect_timeout, request.time_left));
         auto [failed] =
             co_await call->stream->async_connect(address, as_tuple_awaitable);
         if (failed)
--- a/nutmegusher/node/upstream_filter.cpp
+++ b/nutmegusher/node/upstream_filter.cpp
@@ -13,15 +13,15 @@
 namespace
 {
 
-constexpr std::size_t piece_bytes = 16384;
+constexpr std::size_t chunk_bytes = 16384;
 constexpr unsigned status_unavailable = 503;
 // How long the answer of a call that may not be repeated is waited for after
 // its caller has given up.
-constexpr duration late_answer_limit = std::chrono::seconds(60);
+constexpr duration late_answer_timeout = std::chrono::seconds(60);
 // The largest answer of a call that may not be repeated.
-constexpr std::size_t most_claimed_answer = 1048576;
+constexpr std::size_t max_claimed_answer_bytes = 1048576;
 // An upstream that can't be connected to has left or is starting again.
-constexpr duration come_back_elsewhere = std::chrono::milliseconds(50);
+constexpr duration retry_elsewhere_after = std::chrono::milliseconds(50);
 
 upstream_request to_request(const peer_call& call)
 {
@@ -32,20 +32,20 @@
     {
         request.head.fields.push_back({std::string(name), std::move(value)});
     };
-    add(field::request_id, call.terms.request.str());
+    add(field::request_id, call.metadata.request.str());
     add(field::timeout, to_milliseconds(call.time_left()));
-    add(field::class_name, call.terms.work_class.str());
-    add(field::rank, std::to_string(call.terms.rank));
-    if (!call.terms.customer.empty())
+    add(field::class_name, call.metadata.work_class.str());
+    add(field::rank, std::to_string(call.metadata.rank));
+    if (!call.metadata.customer.empty())
     {
-        add(field::customer, call.terms.customer.str());
+        add(field::customer, call.metadata.customer.str());
     }
     request.body = call.body;
     request.streamed = !call.body_complete;
-    request.needs_fresh_connection = !call.terms.repeatable;
+    request.needs_fresh_connection = !call.metadata.repeatable;
     request.time_left =
         call.time_left() +
-        (call.terms.repeatable ? duration::zero() : late_answer_limit);
+        (call.metadata.repeatable ? duration::zero() : late_answer_timeout);
     return request;
 }
 
@@ -83,7 +83,7 @@
         return {
             call_reason::no_upstream,
             call_outcome::not_run,
-            come_back_elsewhere};
+            retry_elsewhere_after};
     case upstream_failure::timed_out:
         return {call_reason::deadline, call_outcome::unknown};
     case upstream_failure::cancelled:
@@ -106,14 +106,14 @@
 
     asio::awaitable<void> run()
     {
-        const auto at = call_.here.shared.upstream.current();
+        const auto at = call_.owner.shared.upstream.current();
         if (!at)
         {
             co_await fail(upstream_failure::not_connected);
             co_return;
         }
         const auto request = to_request(call_);
-        auto sent = co_await call_.here.upstreams.send(at->address, request);
+        auto sent = co_await call_.owner.upstreams.send(at->address, request);
         if (!sent)
         {
             co_await fail(sent.error());
@@ -128,7 +128,7 @@
 private:
     void stop_when_cancelled()
     {
-        if (!call_.terms.repeatable)
+        if (!call_.metadata.repeatable)
         {
             return; // it runs on, so that its outcome becomes known
         }
@@ -145,7 +145,7 @@
 
     asio::awaitable<void> exchange()
     {
-        if (!call_.body_complete && !co_await pass_request())
+        if (!call_.body_complete && !co_await stream_request())
         {
             co_return;
         }
@@ -156,13 +156,13 @@
             co_return;
         }
         call_.result = result_of(head->status);
-        if (call_.result == call_result::shed_by_upstream && refused_deeper())
+        if (call_.result == call_result::shed_by_upstream && sub_call_refused())
         {
             call_.result = call_result::failed; // it isn't full itself
         }
-        if (!call_.terms.repeatable)
+        if (!call_.metadata.repeatable)
         {
-            co_await collect(*std::move(head));
+            co_await buffer_answer(*std::move(head));
         }
         else if (head->status == status_unavailable)
         {
@@ -170,95 +170,96 @@
         }
         else
         {
-            co_await pass_answer(*std::move(head));
+            co_await stream_answer(*std::move(head));
         }
     }
 
     // The rest of a long request body.
-    asio::awaitable<bool> pass_request()
+    asio::awaitable<bool> stream_request()
     {
-        std::array<std::byte, piece_bytes> piece;
+        std::array<std::byte, chunk_bytes> chunk;
         while (true)
         {
-            const auto got = co_await call_.stream->read_some(piece);
-            if (!got)
+            const auto received = co_await call_.stream->read_some(chunk);
+            if (!received)
             {
                 call_.result = call_result::cancelled;
                 co_return false;
             }
-            const auto bytes = std::span(piece).first(*got);
-            const auto wrote = co_await upstream_->write_some(bytes, *got == 0);
+            const auto bytes = std::span(chunk).first(*received);
+            const auto wrote =
+                co_await upstream_->write_some(bytes, *received == 0);
             if (!wrote)
             {
                 co_await fail(wrote.error());
                 co_return false;
             }
-            if (*got == 0)
+            if (*received == 0)
             {
                 co_return true;
             }
         }
     }
 
-    [[nodiscard]] bool refused_deeper() const
+    [[nodiscard]] bool sub_call_refused() const
     {
-        return call_.here.shared.admission.refused_deeper(
-            stable_hash(call_.terms.request.str()));
+        return call_.owner.shared.admission.sub_call_refused(
+            stable_hash(call_.metadata.request.str()));
     }
 
     asio::awaitable<void> refuse_shed(const wire::response_head& head)
     {
-        const bool vouched =
+        const bool certainly_not_run =
             wire::find_header(head.fields, field::not_run) == "true";
         const refusal refused{
-            refused_deeper() ? call_reason::overload_deeper
-                             : call_reason::overload,
-            vouched ? call_outcome::not_run : call_outcome::unknown,
+            sub_call_refused() ? call_reason::overload_deeper
+                               : call_reason::overload,
+            certainly_not_run ? call_outcome::not_run : call_outcome::unknown,
             std::chrono::milliseconds(
-                call_.here.shared.admission.level().retry_after)};
+                call_.owner.shared.admission.level().retry_after)};
         co_await call_.refuse(refused);
-        co_await drain();
+        co_await discard_rest();
     }
 
     // Reads what is left, so that the connection can be used again.
-    asio::awaitable<void> drain()
+    asio::awaitable<void> discard_rest()
     {
-        std::array<std::byte, piece_bytes> piece;
+        std::array<std::byte, chunk_bytes> chunk;
         while (true)
         {
-            const auto got = co_await upstream_->read_some(piece);
-            if (!got || *got == 0)
+            const auto received = co_await upstream_->read_some(chunk);
+            if (!received || *received == 0)
             {
                 co_return;
             }
         }
     }
 
-    asio::awaitable<void> collect(wire::response_head head)
+    asio::awaitable<void> buffer_answer(wire::response_head head)
     {
-        whole_answer whole;
-        whole.head = std::move(head);
-        std::array<std::byte, piece_bytes> piece;
-        while (whole.body.size() <= most_claimed_answer)
+        buffered_answer buffered;
+        buffered.head = std::move(head);
+        std::array<std::byte, chunk_bytes> chunk;
+        while (buffered.body.size() <= max_claimed_answer_bytes)
         {
-            const auto got = co_await upstream_->read_some(piece);
-            if (!got)
+            const auto received = co_await upstream_->read_some(chunk);
+            if (!received)
             {
-                co_await fail(got.error());
+                co_await fail(received.error());
                 co_return;
             }
-            if (*got == 0)
+            if (*received == 0)
             {
-                call_.answer = std::move(whole);
+                call_.answer = std::move(buffered);
                 co_return;
             }
-            whole.body.append(
-                reinterpret_cast<const char*>(piece.data()), *got);
+            buffered.body.append(
+                reinterpret_cast<const char*>(chunk.data()), *received);
         }
         co_await fail(upstream_failure::malformed);
     }
 
-    asio::awaitable<void> pass_answer(wire::response_head head)
+    asio::awaitable<void> stream_answer(wire::response_head head)
     {
         head.fields.push_back(
             {std::string(field::outcome),
@@ -267,25 +268,25 @@
         {
             head.fields.push_back({"content-length", std::to_string(*length)});
         }
-        call_.complete_head(head);
+        call_.add_feedback(head);
         call_.answered = true;
         auto wrote = co_await call_.stream->write_head(std::move(head), false);
-        std::array<std::byte, piece_bytes> piece;
+        std::array<std::byte, chunk_bytes> chunk;
         while (wrote)
         {
-            const auto got = co_await upstream_->read_some(piece);
-            if (!got)
+            const auto received = co_await upstream_->read_some(chunk);
+            if (!received)
             {
-                break_off(got.error());
+                abort_answer(received.error());
                 co_return;
             }
-            const auto bytes = std::span(piece).first(*got);
-            wrote = co_await call_.stream->write(bytes, *got == 0);
-            if (*got == 0)
+            const auto bytes = std::span(chunk).first(*received);
+            wrote = co_await call_.stream->write(bytes, *received == 0);
+            if (*received == 0)
             {
-                call_.here.shared.measured.completed(
+                call_.owner.shared.request_metrics.completed(
                     call_side::upstream,
-                    call_.terms.work_class,
+                    call_.metadata.work_class,
                     host_clock().now() - call_.arrived,
                     1);
                 co_return;
@@ -296,13 +297,13 @@
     }
 
     // The answer has begun: only a broken stream tells that it isn't whole.
-    void break_off(upstream_failure failure)
+    void abort_answer(upstream_failure failure)
     {
         call_.result = result_of(failure);
         log_event(
             event::answer_broken,
-            {{"class", call_.terms.work_class.str()},
-             {"request", call_.terms.request.str()}});
+            {{"class", call_.metadata.work_class.str()},
+             {"request", call_.metadata.request.str()}});
         call_.stream->reset();
     }
 
@@ -310,7 +311,7 @@
     {
         call_.result = result_of(failure);
         call_.failure = failure;
-        if (call_.terms.repeatable)
+        if (call_.metadata.repeatable)
         {
             const auto refused = refusal_of(failure);
             co_await call_.refuse(refused);
--- a/nutmegusher/node/waiting_calls.cpp
+++ b/nutmegusher/node/waiting_calls.cpp
@@ -47,25 +47,25 @@
 std::shared_ptr<waiting_calls::waiter>
 waiting_calls::add(ticket_id ticket, const asio::any_io_executor& executor)
 {
-    auto mine = std::make_shared<waiter>(executor);
-    waiting_.emplace(ticket, mine);
-    return mine;
+    auto own_waiter = std::make_shared<waiter>(executor);
+    waiting_.emplace(ticket, own_waiter);
+    return own_waiter;
 }
 
 asio::awaitable<std::optional<gate_verdict>>
-waiting_calls::wait(std::shared_ptr<waiter> mine, time_point until)
+waiting_calls::wait(std::shared_ptr<waiter> own_waiter, time_point until)
 {
-    while (!mine->verdict && host_clock().now() < until)
+    while (!own_waiter->verdict && host_clock().now() < until)
     {
-        mine->timer.expires_at(until);
-        co_await mine->timer.async_wait(as_tuple_awaitable);
+        own_waiter->timer.expires_at(until);
+        co_await own_waiter->timer.async_wait(as_tuple_awaitable);
     }
-    co_return mine->verdict;
+    co_return own_waiter->verdict;
 }
 
-void waiting_calls::deliver(std::span<const queue_outcome> settled)
+void waiting_calls::deliver(std::span<const queue_outcome> outcomes)
 {
-    for (const auto& each : settled)
+    for (const auto& each : outcomes)
     {
         const auto found = waiting_.find(each.ticket);
         if (found == waiting_.end())
@@ -90,7 +90,7 @@
     {
         return false;
     }
-    waiter::wake(std::move(found->second), gone());
+    waiter::wake(std::move(found->second), caller_left());
     waiting_.erase(found);
     return true;
 }
--- a/nutmegusher/node/waiting_calls.hpp
+++ b/nutmegusher/node/waiting_calls.hpp
@@ -20,11 +20,11 @@
 namespace asio = boost::asio;
 
 // The caller went away while its call waited.
-struct gone
+struct caller_left
 {
 };
 
-using gate_verdict = std::variant<admitted, refused, gone>;
+using gate_verdict = std::variant<admitted, refused, caller_left>;
 
 // Belongs to one admission and is used under its lock, but for `wait`.
 class waiting_calls
@@ -38,13 +38,14 @@
 
     // Suspends until there is a verdict; nothing at `until`, and then it may
     // be called again. On the waiter's executor, without the lock.
-    [[nodiscard]] static asio::awaitable<std::optional<gate_verdict>>
-    wait(std::shared_ptr<waiter> mine, time_point until = time_point::max());
+    [[nodiscard]] static asio::awaitable<std::optional<gate_verdict>> wait(
+        std::shared_ptr<waiter> own_waiter,
+        time_point until = time_point::max());
 
     // Resumes the calls that were decided on.
-    void deliver(std::span<const queue_outcome> settled);
+    void deliver(std::span<const queue_outcome> outcomes);
 
-    // Resumes a call with `gone`; false where it doesn't wait here.
+    // Resumes a call with `caller_left`; false where it doesn't wait here.
     bool withdraw(ticket_id ticket);
 
 private:
--- a/nutmegusher/node/worker.hpp
+++ b/nutmegusher/node/worker.hpp
@@ -44,14 +44,14 @@
     route_controller routes;
     claim_directory claims;
     crash_watch crashes;
-    metrics measured;
+    metrics request_metrics;
     // A graceful shutdown has begun.
     std::atomic<bool> stopping = false;
     // So far on that only the own upstream's sub-calls are served.
     std::atomic<bool> refuses_callers = false;
     // Makes the next sync with a control host happen at once; set before the
     // workers run.
-    std::function<void()> sync_soon = [] {};
+    std::function<void()> request_sync = [] {};
 };
 
 // What one thread uses without locks.
--- a/nutmegusher/routed/entry.cpp
+++ b/nutmegusher/routed/entry.cpp
@@ -356,7 +356,7 @@
             return;
         }
         flag->requested = true;
-        flag->is_answer_owed = is_answer_owed;
+        flag->expects_answer = is_answer_owed;
         if (flag->stop)
         {
             flag->stop();
@@ -366,7 +366,7 @@
     // The end of a request that was cancelled before it had its answer.
     asio::awaitable<void> finish_cancelled()
     {
-        if (cancelled_->is_answer_owed)
+        if (cancelled_->expects_answer)
         {
             co_await give_up(stopping());
         }
@@ -444,18 +444,18 @@
     asio::awaitable<void> wait_for_upstreams()
     {
         auto& routes = state_.process.routes;
-        if (routes.known(service_))
+        if (routes.is_known(service_))
         {
             co_return;
         }
-        if (routes.want(service_))
+        if (routes.request_routes(service_))
         {
-            state_.process.sync_soon();
+            state_.process.request_sync();
         }
         const auto until =
             std::min(arrived_ + max_upstreams_wait, call_.metadata.deadline);
         asio::steady_timer timer(worker_.context);
-        while (!routes.known(service_) && !cancelled_->requested &&
+        while (!routes.is_known(service_) && !cancelled_->requested &&
                host_clock().now() < until)
         {
             timer.expires_after(upstreams_poll_interval);
@@ -507,11 +507,11 @@
             call_.metadata.bulk,
             try_result,
             host_clock().now() - started);
-        if (feedback.load_report && try_result != node::try_end::gone)
+        if (feedback.load_report && try_result != node::try_end::address_reused)
         {
             apply_load_report(to.handle, *feedback.load_report);
         }
-        if (cancelled_->requested && !cancelled_->is_answer_owed)
+        if (cancelled_->requested && !cancelled_->expects_answer)
         {
             co_return true;
         }
@@ -590,7 +590,7 @@
         case call_reason::leaving:
             return node::try_end::leaving;
         case call_reason::other_upstream:
-            return node::try_end::gone;
+            return node::try_end::address_reused;
         case call_reason::no_upstream:
         case call_reason::connection_lost:
         case call_reason::answer_broken:
@@ -781,7 +781,7 @@
     asio::awaitable<void> refuse(refusal details)
     {
         note_end(true);
-        state_.process.measured.refused(
+        state_.process.request_metrics.refused(
             node::call_side::entry,
             metrics_class(),
             details.reason,
@@ -803,7 +803,7 @@
             const auto elapsed = host_clock().now() - arrived_;
             state_.shed.on_answer(route_->rank, route_->hash, elapsed);
         }
-        state_.process.measured.completed(
+        state_.process.request_metrics.completed(
             node::call_side::entry,
             metrics_class(),
             host_clock().now() - arrived_,
--- a/nutmegusher/routed/routed_path_test.cpp
+++ b/nutmegusher/routed/routed_path_test.cpp
@@ -227,7 +227,7 @@
     EXPECT_EQ(ask("/other/", "id-3").result_int(), 404U);
     upstream_node->state.local.withdraw("i-1");
     EXPECT_EQ(ask("/pay/1", "id-4", "amount 7").result_int(), 503U);
-    const auto text = entry->shared.measured.exposition();
+    const auto text = entry->shared.request_metrics.exposition();
     const auto has = [&text](std::string_view line)
     {
         return text.find(line) != std::string::npos;
