--- a/nutmegusher/node/control_part.cpp
+++ b/nutmegusher/node/control_part.cpp
@@ -377,9 +377,9 @@
     }
 }
 
-control_answers control_part::answers()
+control_callbacks control_part::answers()
 {
-    control_answers made;
+    control_callbacks made;
     made.propose = [this](messages::change change)
     {
         return state_->logs->propose_change(std::move(change));
--- a/nutmegusher/node/control_part.hpp
+++ b/nutmegusher/node/control_part.hpp
@@ -42,7 +42,7 @@
     // Ends the thread of the logs.
     void stop();
 
-    [[nodiscard]] control_answers answers();
+    [[nodiscard]] control_callbacks answers();
 
 private:
     struct state;
--- a/nutmegusher/node/daemon.cpp
+++ b/nutmegusher/node/daemon.cpp
@@ -28,7 +28,7 @@
 // The same while nothing runs or waits: 50 wake-ups a second in place of 500.
 constexpr duration idle_tick_interval = std::chrono::milliseconds(20);
 constexpr duration upstream_check_interval = std::chrono::milliseconds(500);
-constexpr std::size_t announcement_bytes = 4096;
+constexpr std::size_t max_announcement_bytes = 4096;
 constexpr std::string_view control_prefix = "/control/";
 constexpr std::string_view announce_path = "/nutmegusher/announce";
 
@@ -70,7 +70,7 @@
     {
         BOOST_LEAF_ASSIGN(control, control_part::start(first()));
     }
-    sources = make_sources();
+    callbacks = make_operator_callbacks();
     attach_extension();
     for (std::size_t i = 0; i < workers.size(); ++i)
     {
@@ -91,7 +91,7 @@
     if (metrics)
     {
         BOOST_LEAF_ASSIGN(
-            collectors,
+            metrics_server,
             http_server::listen(
                 first().context,
                 *metrics,
@@ -106,8 +106,8 @@
 
 leaf::result<void> daemon::state::open_worker(std::size_t index)
 {
-    auto& here = *workers[index];
-    auto& own = listening[index];
+    auto& current_worker = *workers[index];
+    auto& own = listeners_by_worker[index];
     const auto& listen = shared.configured.listen;
     const auto options = options_for(shared.configured);
     if (listen.callers)
@@ -115,11 +115,11 @@
         BOOST_LEAF_ASSIGN(
             own.callers,
             http_server::listen(
-                here.context,
+                current_worker.context,
                 *listen.callers,
-                [this, &here](caller_exchange& exchange)
+                [this, &current_worker](caller_exchange& exchange)
                 {
-                    return serve_caller(here, exchange);
+                    return serve_caller(current_worker, exchange);
                 },
                 options));
     }
@@ -128,22 +128,22 @@
         BOOST_LEAF_ASSIGN(
             own.upstream,
             http_server::listen(
-                here.context,
+                current_worker.context,
                 *listen.upstream,
-                [this, &here](caller_exchange& exchange)
+                [this, &current_worker](caller_exchange& exchange)
                 {
-                    return serve_own_upstream(here, exchange);
+                    return serve_own_upstream(current_worker, exchange);
                 },
                 options));
     }
     BOOST_LEAF_ASSIGN(
         own.peers,
         wire::server::listen(
-            here.context,
+            current_worker.context,
             listen.peers,
-            [this, &here](std::shared_ptr<wire::server_stream> stream)
+            [this, &current_worker](std::shared_ptr<wire::server_stream> stream)
             {
-                return serve_peer(here, std::move(stream));
+                return serve_peer(current_worker, std::move(stream));
             },
             wire::session_options(),
             true));
@@ -152,71 +152,75 @@
 
 void daemon::state::attach_extension()
 {
-    if (!added)
+    if (!optional_extension)
     {
         return;
     }
-    const auto announce = [this](const announcement& said)
+    const auto announce = [this](const announcement& received)
     {
-        apply(shared.upstream.announce(said, host_clock().now()), said.service);
+        apply_upstream_change(
+            shared.upstream.announce(received, host_clock().now()),
+            received.service);
     };
-    added->attach({shared, announce, sources.control});
+    optional_extension->attach({shared, announce, callbacks.control});
 }
 
 asio::awaitable<void>
-daemon::state::serve_caller(worker& here, caller_exchange& exchange)
+daemon::state::serve_caller(worker& current_worker, caller_exchange& exchange)
 {
-    if (added)
+    if (optional_extension)
     {
-        const bool served = co_await added->serve_caller(here, exchange);
+        const bool served =
+            co_await optional_extension->serve_caller(current_worker, exchange);
         if (served)
         {
             co_return;
         }
     }
-    co_await serve_request(here, exchange, request_origin::caller);
+    co_await serve_request(current_worker, exchange, request_origin::caller);
 }
 
-asio::awaitable<void>
-daemon::state::serve_operators(worker& here, caller_exchange& exchange)
+asio::awaitable<void> daemon::state::serve_operators(
+    worker& current_worker, caller_exchange& exchange)
 {
-    if (added)
+    if (optional_extension)
     {
-        const bool served = co_await added->serve_operator(here, exchange);
+        const bool served = co_await optional_extension->serve_operator(
+            current_worker, exchange);
         if (served)
         {
             co_return;
         }
     }
-    co_await serve_operator(here, sources, exchange);
+    co_await serve_operator(current_worker, callbacks, exchange);
 }
 
-operator_sources daemon::state::make_sources()
+operator_callbacks daemon::state::make_operator_callbacks()
 {
-    operator_sources made;
-    made.sync = [this]
+    operator_callbacks result;
+    result.sync = [this]
     {
         return sync->dump();
     };
-    made.drain = [this]
+    result.drain = [this]
     {
         asio::co_spawn(first().context, shut_down(), asio::detached);
     };
     if (control)
     {
-        made.control = control->answers();
+        result.control = control->answers();
     }
-    return made;
+    return result;
 }
 
 asio::awaitable<void> daemon::state::serve_peer(
-    worker& here, std::shared_ptr<wire::server_stream> stream)
+    worker& current_worker, std::shared_ptr<wire::server_stream> stream)
 {
     if (stream->head().path.starts_with(control_prefix))
     {
         if (control)
         {
-            co_await control->serve(here, std::move(stream));
+            co_await control->serve(current_worker, std::move(stream));
         }
         else
         {
@@ -225,23 +229,25 @@
         }
         co_return;
     }
-    if (added)
+    if (optional_extension)
     {
-        const bool served = co_await added->serve_peer(here, stream);
+        const bool served =
+            co_await optional_extension->serve_peer(current_worker, stream);
         if (served)
         {
             co_return;
         }
     }
-    co_await serve_peer_call(here, std::move(stream));
+    co_await serve_peer_call(current_worker, std::move(stream));
 }
 
-asio::awaitable<void>
-daemon::state::serve_own_upstream(worker& here, caller_exchange& exchange)
+asio::awaitable<void> daemon::state::serve_own_upstream(
+    worker& current_worker, caller_exchange& exchange)
 {
-    if (added)
+    if (optional_extension)
     {
-        const bool served = co_await added->serve_upstream(here, exchange);
+        const bool served = co_await optional_extension->serve_upstream(
+            current_worker, exchange);
         if (served)
         {
             co_return;
@@ -249,59 +255,63 @@
     }
     if (exchange.head().path == announce_path)
     {
-        co_await take_announcement(exchange);
+        co_await handle_announcement(exchange);
         co_return;
     }
-    co_await serve_request(here, exchange, request_origin::own_upstream);
+    co_await serve_request(
+        current_worker, exchange, request_origin::own_upstream);
 }
 
 asio::awaitable<void>
-daemon::state::take_announcement(caller_exchange& exchange)
+daemon::state::handle_announcement(caller_exchange& exchange)
 {
     std::string text;
-    std::array<std::byte, announcement_bytes> piece;
-    while (text.size() <= announcement_bytes)
+    std::array<std::byte, max_announcement_bytes> chunk;
+    while (text.size() <= max_announcement_bytes)
     {
-        const auto got = co_await exchange.read_some(piece);
-        if (!got)
+        const auto read_size = co_await exchange.read_some(chunk);
+        if (!read_size)
         {
             co_return;
         }
-        if (*got == 0)
+        if (*read_size == 0)
         {
             break;
         }
-        text.append(reinterpret_cast<const char*>(piece.data()), *got);
+        text.append(reinterpret_cast<const char*>(chunk.data()), *read_size);
     }
-    std::optional<json_error> wrong;
-    std::optional<announcement> said;
+    std::optional<json_error> parse_error;
+    std::optional<announcement> received;
     leaf::try_handle_all(
         [&]() -> leaf::result<void>
         {
-            BOOST_LEAF_ASSIGN(said, parse_announcement(text));
+            BOOST_LEAF_ASSIGN(received, parse_announcement(text));
             return {};
         },
         [&](const json_error& error)
         {
-            wrong = error;
+            parse_error = error;
         },
         [&]
         {
-            wrong = json_error{};
+            parse_error = json_error{};
         });
-    if (wrong)
+    if (parse_error)
     {
-        const auto body = json::serialize(to_json(*wrong));
+        const auto body = json::serialize(to_json(*parse_error));
         wire::response_head head{400, {{"content-type", "application/json"}}};
         co_await exchange.answer(std::move(head), body);
         co_return;
     }
-    apply(shared.upstream.announce(*said, host_clock().now()), said->service);
+    apply_upstream_change(
+        shared.upstream.announce(*received, host_clock().now()),
+        received->service);
     wire::response_head head{204, {}};
     co_await exchange.answer(std::move(head), "");
 }
 
-void daemon::state::apply(upstream_change change, const service_name& service)
+void daemon::state::apply_upstream_change(
+    upstream_change change, const service_name& service)
 {
     if (change == upstream_change::none)
     {
@@ -341,7 +351,8 @@
         co_await timer.async_wait(as_tuple_awaitable);
         const auto own = shared.upstream.record();
         const auto service = service_name(own ? own->service() : "");
-        apply(shared.upstream.expire(host_clock().now()), service);
+        apply_upstream_change(
+            shared.upstream.expire(host_clock().now()), service);
     }
 }
 
@@ -351,13 +362,14 @@
     co_await shut_down();
 }
 
-leaf::result<std::unique_ptr<daemon>>
-daemon::start(const settings& from, std::unique_ptr<extension> added)
+leaf::result<std::unique_ptr<daemon>> daemon::start(
+    const settings& from, std::unique_ptr<extension> optional_extension)
 {
     const incarnation run(wall_milliseconds());
-    auto made = std::make_unique<state>(from, run, std::move(added));
-    BOOST_LEAF_CHECK(made->open());
-    return std::unique_ptr<daemon>(new daemon(std::move(made)));
+    auto result =
+        std::make_unique<state>(from, run, std::move(optional_extension));
+    BOOST_LEAF_CHECK(result->open());
+    return std::unique_ptr<daemon>(new daemon(std::move(result)));
 }
 
 daemon::daemon(std::unique_ptr<state> state)
@@ -372,7 +384,7 @@
     auto& first = state_->first().context;
     asio::co_spawn(first, state_->sync->run(), asio::detached);
     asio::co_spawn(first, state_->sync->watch_age(), asio::detached);
-    if (!state_->added)
+    if (!state_->optional_extension)
     {
         asio::co_spawn(first, state_->run_ticks(), asio::detached);
     }
--- a/nutmegusher/node/daemon.hpp
+++ b/nutmegusher/node/daemon.hpp
@@ -20,9 +20,11 @@
     // Opens all listeners; nothing is started where one can't be opened.
     // Errors: `listen_error`, `wire::listen_failure`, and of a control host's
     // storage.
-    // `added` takes requests before the process's own path does; null: nothing.
-    [[nodiscard]] static leaf::result<std::unique_ptr<daemon>>
-    start(const settings& from, std::unique_ptr<extension> added = nullptr);
+    // `optional_extension` takes requests before the process's own path does;
+    // null: nothing.
+    [[nodiscard]] static leaf::result<std::unique_ptr<daemon>> start(
+        const settings& from,
+        std::unique_ptr<extension> optional_extension = nullptr);
 
     daemon(const daemon&) = delete;
     daemon& operator=(const daemon&) = delete;
--- a/nutmegusher/node/daemon_state.hpp
+++ b/nutmegusher/node/daemon_state.hpp
@@ -35,15 +35,17 @@
 struct daemon::state
 {
     state(
-        const settings& from, incarnation run, std::unique_ptr<extension> extra)
+        const settings& from,
+        incarnation run,
+        std::unique_ptr<extension> owned_extension)
         : shared(from, run)
-        , added(std::move(extra))
+        , optional_extension(std::move(owned_extension))
     {
         for (std::size_t i = 0; i < from.host.threads; ++i)
         {
             workers.push_back(std::make_unique<worker>(shared, i));
         }
-        listening.resize(workers.size());
+        listeners_by_worker.resize(workers.size());
         sync = std::make_unique<sync_client>(first());
         shared.sync_soon = [this]
         {
@@ -65,18 +67,20 @@
 
     leaf::result<void> open();
     leaf::result<void> open_worker(std::size_t index);
-    operator_sources make_sources();
+    operator_callbacks make_operator_callbacks();
 
     void attach_extension();
-    asio::awaitable<void> serve_caller(worker& here, caller_exchange& exchange);
     asio::awaitable<void>
-    serve_operators(worker& here, caller_exchange& exchange);
+    serve_caller(worker& current_worker, caller_exchange& exchange);
     asio::awaitable<void>
-    serve_peer(worker& here, std::shared_ptr<wire::server_stream> stream);
+    serve_operators(worker& current_worker, caller_exchange& exchange);
+    asio::awaitable<void> serve_peer(
+        worker& current_worker, std::shared_ptr<wire::server_stream> stream);
     asio::awaitable<void>
-    serve_own_upstream(worker& here, caller_exchange& exchange);
-    asio::awaitable<void> take_announcement(caller_exchange& exchange);
-    void apply(upstream_change change, const service_name& service);
+    serve_own_upstream(worker& current_worker, caller_exchange& exchange);
+    asio::awaitable<void> handle_announcement(caller_exchange& exchange);
+    void
+    apply_upstream_change(upstream_change change, const service_name& service);
 
     asio::awaitable<void> run_ticks();
     asio::awaitable<void> watch_upstream();
@@ -85,24 +89,24 @@
     // daemon_stop.cpp.
     asio::awaitable<void> shut_down();
     // Closes the sources of work that the step is about.
-    asio::awaitable<void> enter(stop_step step);
+    asio::awaitable<void> enter_step(stop_step step);
     asio::awaitable<void> close_callers();
     asio::awaitable<void> close_peers();
     asio::awaitable<void> close_upstream();
     asio::awaitable<void> give_up();
-    asio::awaitable<void> on_each_worker(void (*action)(listeners&));
-    [[nodiscard]] asio::awaitable<stop_census> count_open();
-    void end(const stop_sequence& stop, const stop_census& left);
+    asio::awaitable<void> run_on_each_worker(void (*action)(listeners&));
+    [[nodiscard]] asio::awaitable<open_counts> count_open();
+    void end(const stop_sequence& stop, const open_counts& left);
 
     controllers shared;
-    std::unique_ptr<extension> added;
+    std::unique_ptr<extension> optional_extension;
     std::vector<std::unique_ptr<worker>> workers;
-    std::vector<listeners> listening;
+    std::vector<listeners> listeners_by_worker;
     std::unique_ptr<sync_client> sync;
     std::unique_ptr<control_part> control;
     std::unique_ptr<http_server> operators;
-    std::unique_ptr<http_server> collectors;
-    operator_sources sources;
+    std::unique_ptr<http_server> metrics_server;
+    operator_callbacks callbacks;
     std::optional<asio::signal_set> signals;
     bool shutting_down = false;
 };
--- a/nutmegusher/node/daemon_stop.cpp
+++ b/nutmegusher/node/daemon_stop.cpp
@@ -15,87 +15,95 @@
 // While connections are accepted, other daemons' calls still run on the
 // upstream for this part of the time, so that a restart takes it out for less;
 // the rest is for calls that it works on to end.
-constexpr int serving_part = 3;
-constexpr int accepting_parts = 5;
+constexpr int leave_delay_numerator = 3;
+constexpr int leave_delay_denominator = 5;
 // Others hear within this that the upstream takes no more calls, and callers
 // that the process stops.
-constexpr duration leave_notice = std::chrono::milliseconds(500);
+constexpr duration leave_propagation_time = std::chrono::milliseconds(500);
 // What is left of the limit when requests are given up: their answers take a
 // moment to be written.
-constexpr duration longest_closing = std::chrono::milliseconds(1300);
-constexpr int closing_part = 15;
+constexpr duration max_closing_time = std::chrono::milliseconds(1300);
+constexpr int closing_divisor = 15;
 
-// `sub_calls_as_callers`: the own upstream's come in at the callers' listener.
-stop_times times_for(const shutdown_settings& from, bool sub_calls_as_callers)
+// `sub_calls_use_callers_listener`: the own upstream's come in at the callers'
+// listener.
+stop_times make_stop_times(
+    const shutdown_settings& from, bool sub_calls_use_callers_listener)
 {
-    const auto closing = std::min(longest_closing, from.limit / closing_part);
+    const auto closing_time =
+        std::min(max_closing_time, from.limit / closing_divisor);
     stop_times times;
-    times.leave_after = from.accept_for * serving_part / accepting_parts;
-    times.close_callers_after = std::max(from.accept_for, leave_notice);
-    times.give_up_after = from.limit - closing;
-    const auto patience = times.give_up_after - times.close_callers_after;
-    times.close_callers_by =
+    times.leave_after =
+        from.accept_for * leave_delay_numerator / leave_delay_denominator;
+    times.close_callers_after =
+        std::max(from.accept_for, leave_propagation_time);
+    times.give_up_after = from.limit - closing_time;
+    const auto drain_time = times.give_up_after - times.close_callers_after;
+    times.close_callers_deadline =
         times.close_callers_after +
-        (sub_calls_as_callers ? patience / 2 : duration::zero());
+        (sub_calls_use_callers_listener ? drain_time / 2 : duration::zero());
     times.end_after = from.limit;
-    times.session_end = closing;
+    times.session_close_timeout = closing_time;
     return times;
 }
 
-void close_after_answers(listeners& own)
+void close_after_answers(listeners& worker_listeners)
 {
-    if (own.callers)
+    if (worker_listeners.callers)
     {
-        own.callers->close_after_answers();
+        worker_listeners.callers->close_after_answers();
     }
 }
 
-void close_callers_of(listeners& own)
+void close_callers_of(listeners& worker_listeners)
 {
-    if (own.callers)
+    if (worker_listeners.callers)
     {
-        own.callers->close_intake();
+        worker_listeners.callers->close_intake();
     }
 }
 
-void close_peers_of(listeners& own)
+void close_peers_of(listeners& worker_listeners)
 {
-    own.peers->close_intake();
+    worker_listeners.peers->close_intake();
 }
 
-void end_sessions_of(listeners& own)
+void end_sessions_of(listeners& worker_listeners)
 {
-    own.peers->end_sessions();
+    worker_listeners.peers->end_sessions();
 }
 
-void close_upstream_of(listeners& own)
+void close_upstream_of(listeners& worker_listeners)
 {
-    if (own.upstream)
+    if (worker_listeners.upstream)
     {
-        own.upstream->close_intake();
+        worker_listeners.upstream->close_intake();
     }
 }
 
-void give_up_of(listeners& own)
+void give_up_of(listeners& worker_listeners)
 {
-    own.peers->give_up();
-    if (own.callers)
+    worker_listeners.peers->give_up();
+    if (worker_listeners.callers)
     {
-        own.callers->give_up();
+        worker_listeners.callers->give_up();
     }
-    if (own.upstream)
+    if (worker_listeners.upstream)
     {
-        own.upstream->give_up();
+        worker_listeners.upstream->give_up();
     }
 }
 
-stop_census count_open_of(const listeners& own)
+open_counts count_open_of(const listeners& worker_listeners)
 {
-    stop_census open;
-    open.callers = own.callers ? own.callers->connections() : 0;
-    open.upstream = own.upstream ? own.upstream->connections() : 0;
-    open.peer_calls = own.peers->open_streams();
-    open.peer_sessions = own.peers->connections();
+    open_counts open;
+    open.callers =
+        worker_listeners.callers ? worker_listeners.callers->connections() : 0;
+    open.upstream = worker_listeners.upstream
+                        ? worker_listeners.upstream->connections()
+                        : 0;
+    open.peer_calls = worker_listeners.peers->open_streams();
+    open.peer_sessions = worker_listeners.peers->connections();
     return open;
 }
 
@@ -110,45 +118,45 @@
     log_event(event::process_stopping, {});
     const auto& configured = shared.configured;
     // Streams of other control hosts are no calls, and seldom none.
-    const bool sub_calls_as_callers =
-        added && configured.listen.callers && !control;
+    const bool sub_calls_use_callers_listener =
+        optional_extension && configured.listen.callers && !control;
     auto stop = stop_sequence::begin(
-        times_for(configured.shutdown, sub_calls_as_callers),
+        make_stop_times(configured.shutdown, sub_calls_use_callers_listener),
         host_clock().now());
     asio::steady_timer timer(first().context);
-    std::optional<stop_step> entered;
-    stop_census open;
+    std::optional<stop_step> entered_step;
+    open_counts open;
     while (stop.step() != stop_step::ended)
     {
-        if (entered != stop.step())
+        if (entered_step != stop.step())
         {
-            entered = stop.step();
-            co_await enter(*entered);
+            entered_step = stop.step();
+            co_await enter_step(*entered_step);
         }
         open = co_await count_open();
         stop.advance(host_clock().now(), open);
-        if (entered == stop.step())
+        if (entered_step == stop.step())
         {
-            timer.expires_at(stop.next_look(host_clock().now()));
+            timer.expires_at(stop.next_check(host_clock().now()));
             co_await timer.async_wait(as_tuple_awaitable);
         }
     }
     end(stop, open);
 }
 
-asio::awaitable<void> daemon::state::enter(stop_step step)
+asio::awaitable<void> daemon::state::enter_step(stop_step step)
 {
     switch (step)
     {
     case stop_step::announced:
         shared.stopping = true;
-        co_await on_each_worker(close_after_answers);
+        co_await run_on_each_worker(close_after_answers);
         break;
     case stop_step::leaving:
         shared.upstream.leave();
-        if (added)
+        if (optional_extension)
         {
-            added->leave();
+            optional_extension->leave();
         }
         sync->sync_now();
         break;
@@ -169,7 +177,7 @@
         co_await close_peers();
         break;
     case stop_step::ending_sessions:
-        co_await on_each_worker(end_sessions_of);
+        co_await run_on_each_worker(end_sessions_of);
         break;
     case stop_step::closing_upstream:
         co_await close_upstream();
@@ -193,11 +201,11 @@
 // Callers that have not yet heard of the stop found a listener until now.
 asio::awaitable<void> daemon::state::close_callers()
 {
-    co_await on_each_worker(close_callers_of);
+    co_await run_on_each_worker(close_callers_of);
     operators->close_intake();
-    if (collectors)
+    if (metrics_server)
     {
-        collectors->close_intake();
+        metrics_server->close_intake();
     }
 }
 
@@ -207,37 +215,38 @@
     {
         control->end_syncs();
     }
-    co_await on_each_worker(close_peers_of);
+    co_await run_on_each_worker(close_peers_of);
 }
 
 asio::awaitable<void> daemon::state::close_upstream()
 {
-    co_await on_each_worker(close_upstream_of);
+    co_await run_on_each_worker(close_upstream_of);
 }
 
 asio::awaitable<void> daemon::state::give_up()
 {
     co_await close_callers();
     co_await close_peers();
-    co_await on_each_worker(end_sessions_of);
+    co_await run_on_each_worker(end_sessions_of);
     co_await close_upstream();
-    co_await on_each_worker(give_up_of);
+    co_await run_on_each_worker(give_up_of);
     operators->give_up();
-    if (collectors)
+    if (metrics_server)
     {
-        collectors->give_up();
+        metrics_server->give_up();
     }
 }
 
 // Each worker's listeners are used on its own thread.
-asio::awaitable<void> daemon::state::on_each_worker(void (*action)(listeners&))
+asio::awaitable<void>
+daemon::state::run_on_each_worker(void (*action)(listeners&))
 {
     for (std::size_t i = 0; i < workers.size(); ++i)
     {
-        auto& own = listening[i];
-        const auto act = [action, &own]() -> asio::awaitable<void>
+        auto& worker_listeners = listeners_by_worker[i];
+        const auto act = [action, &worker_listeners]() -> asio::awaitable<void>
         {
-            action(own);
+            action(worker_listeners);
             co_return;
         };
         co_await asio::co_spawn(
@@ -245,31 +254,32 @@
     }
 }
 
-asio::awaitable<stop_census> daemon::state::count_open()
+asio::awaitable<open_counts> daemon::state::count_open()
 {
-    stop_census open;
+    open_counts open;
     for (std::size_t i = 0; i < workers.size(); ++i)
     {
-        const auto& own = listening[i];
-        const auto count = [&own]() -> asio::awaitable<stop_census>
+        const auto& worker_listeners = listeners_by_worker[i];
+        const auto count = [&worker_listeners]() -> asio::awaitable<open_counts>
         {
-            co_return count_open_of(own);
+            co_return count_open_of(worker_listeners);
         };
-        const stop_census part = co_await asio::co_spawn(
+        const open_counts worker_counts = co_await asio::co_spawn(
             workers[i]->context, count(), asio::use_awaitable);
-        open.callers += part.callers;
-        open.upstream += part.upstream;
-        open.peer_calls += part.peer_calls;
-        open.peer_sessions += part.peer_sessions;
+        open.callers += worker_counts.callers;
+        open.upstream += worker_counts.upstream;
+        open.peer_calls += worker_counts.peer_calls;
+        open.peer_sessions += worker_counts.peer_sessions;
     }
     open.peer_calls += shared.ledger.size();
-    open.upstream_calls = added ? added->calls_in_work() : 0;
+    open.upstream_calls =
+        optional_extension ? optional_extension->calls_in_flight() : 0;
     open.callers += operators->connections();
-    open.callers += collectors ? collectors->connections() : 0;
+    open.callers += metrics_server ? metrics_server->connections() : 0;
     co_return open;
 }
 
-void daemon::state::end(const stop_sequence& stop, const stop_census& left)
+void daemon::state::end(const stop_sequence& stop, const open_counts& left)
 {
     sync->stop();
     if (control)
--- a/nutmegusher/node/extension.hpp
+++ b/nutmegusher/node/extension.hpp
@@ -25,7 +25,7 @@
     std::function<void(const announcement&)> announce;
     // The replicated logs; empty functions where the process is no control
     // host.
-    const control_answers& control;
+    const control_callbacks& control;
 };
 
 // Its functions run on the worker that is given; each answers `false` where
@@ -43,25 +43,26 @@
 
     // A request on the listener for members and clerks.
     virtual asio::awaitable<bool>
-    serve_caller(worker& here, caller_exchange& exchange) = 0;
+    serve_caller(worker& current_worker, caller_exchange& exchange) = 0;
 
     // A request of the upstream on this host.
     virtual asio::awaitable<bool>
-    serve_upstream(worker& here, caller_exchange& exchange) = 0;
+    serve_upstream(worker& current_worker, caller_exchange& exchange) = 0;
 
     // A request on the operators' listener.
     virtual asio::awaitable<bool>
-    serve_operator(worker& here, caller_exchange& exchange) = 0;
+    serve_operator(worker& current_worker, caller_exchange& exchange) = 0;
 
     // A stream of another daemon.
-    virtual asio::awaitable<bool>
-    serve_peer(worker& here, std::shared_ptr<wire::server_stream> stream) = 0;
+    virtual asio::awaitable<bool> serve_peer(
+        worker& current_worker,
+        std::shared_ptr<wire::server_stream> stream) = 0;
 
     // A graceful shutdown has begun.
     virtual void leave() = 0;
 
     // Calls that the own upstream works on; safe from every thread.
-    [[nodiscard]] virtual std::size_t calls_in_work() const = 0;
+    [[nodiscard]] virtual std::size_t calls_in_flight() const = 0;
 };
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/http_server.cpp
+++ b/nutmegusher/node/http_server.cpp
@@ -33,9 +33,9 @@
 constexpr unsigned http_11 = 11;
 // For the rest of a head of which a part was read, when nothing else is waited
 // for any more.
-constexpr duration last_head_limit = std::chrono::milliseconds(50);
+constexpr duration final_head_timeout = std::chrono::milliseconds(50);
 // How long a caller may go on sending after its answer.
-constexpr duration linger_limit = std::chrono::seconds(1);
+constexpr duration linger_timeout = std::chrono::seconds(1);
 // Most requests fit in one read.
 constexpr std::size_t first_read_bytes = 1024;
 
@@ -57,7 +57,8 @@
 }
 
 template <class Message>
-void fill_head(Message& message, const wire::response_head& head, bool keep)
+void fill_head(
+    Message& message, const wire::response_head& head, bool keep_alive)
 {
     message.result(head.status);
     for (const auto& field : head.fields)
@@ -68,22 +69,23 @@
             message.insert(field.name, field.value);
         }
     }
-    message.keep_alive(keep);
+    message.keep_alive(keep_alive);
 }
 
 // True where nothing can be read any more from the peer.
 bool peer_has_closed(tcp::socket& socket)
 {
     char probe = 0;
-    const auto got =
+    const auto read_size =
         ::recv(socket.native_handle(), &probe, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+    return read_size == 0 ||
+           (read_size < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 // The wait for the caller's disconnection; outlives the exchange.
 struct disconnect_watch
 {
-    std::function<void()> gone;
+    std::function<void()> on_gone;
 };
 
 } // namespace
@@ -92,7 +94,7 @@
 {
 
 // How far a server is on its way to the end.
-enum class intake : std::uint8_t
+enum class intake_state : std::uint8_t
 {
     open,
     closing_after_answers,
@@ -116,12 +118,12 @@
     tcp::acceptor acceptor;
     http_handler handler;
     http_server_options options;
-    intake taking = intake::open;
+    intake_state intake = intake_state::open;
     // Nothing of a request was read on these.
-    std::set<beast::tcp_stream*> idle;
+    std::set<beast::tcp_stream*> idle_streams;
     // A head is being read on these.
-    std::set<beast::tcp_stream*> reading;
-    std::set<beast_exchange*> in_work;
+    std::set<beast::tcp_stream*> streams_reading_head;
+    std::set<beast_exchange*> active_exchanges;
     std::size_t connections = 0;
     std::size_t in_flight = 0;
 };
@@ -136,10 +138,10 @@
         beast::tcp_stream& stream,
         beast::flat_buffer& buffer,
         std::uint32_t header_bytes,
-        const intake& taking)
+        const intake_state& intake)
         : stream_(stream)
         , buffer_(buffer)
-        , taking_(taking)
+        , intake_(intake)
     {
         parser_.header_limit(header_bytes);
         parser_.body_limit(boost::none);
@@ -148,7 +150,8 @@
     ~beast_exchange() override
     {
         stop_watch();
-        if (read_at_ && !finished_ && !peer_has_closed(stream_.socket()))
+        if (head_read_at_ && !answer_finished_ &&
+            !peer_has_closed(stream_.socket()))
         {
             log_unanswered();
         }
@@ -171,7 +174,7 @@
         if (!failed)
         {
             head_ = to_request_head(parser_.get().base());
-            read_at_ = host_clock().now();
+            head_read_at_ = host_clock().now();
             keep_alive_ = parser_.get().keep_alive();
         }
         co_return failed;
@@ -200,28 +203,28 @@
         {
             if (is_given_up())
             {
-                broken_ = true;
+                read_failed_ = true;
                 co_return caller_failure::given_up;
             }
             body.data = into.data();
             body.size = into.size();
-            is_reading_ = true;
+            is_reading_body_ = true;
             auto [failed, size] = co_await http::async_read_some(
                 stream_, buffer_, parser_, as_tuple_awaitable);
-            is_reading_ = false;
+            is_reading_body_ = false;
             if (failed && is_given_up())
             {
-                broken_ = true;
+                read_failed_ = true;
                 co_return caller_failure::given_up;
             }
             if (failed && failed != http::error::need_buffer)
             {
-                broken_ = true;
+                read_failed_ = true;
                 co_return to_failure(failed);
             }
-            if (const auto got = into.size() - body.size; got > 0)
+            if (const auto read_size = into.size() - body.size; read_size > 0)
             {
-                co_return got;
+                co_return read_size;
             }
         }
         co_return std::size_t{0};
@@ -230,21 +233,21 @@
     asio::awaitable<bool>
     answer(wire::response_head head, std::string_view body) override
     {
-        begin();
+        begin_head();
         http::response<http::span_body<const char>> message;
         message.version(http_11);
-        fill_head(message, head, told_to_keep_);
-        const bool bodiless = is_head_request();
+        fill_head(message, head, keeps_connection_);
+        const bool omits_body = is_head_request();
         message.body() = {body.data(), body.size()};
         message.content_length(body.size());
-        if (bodiless)
+        if (omits_body)
         {
             message.body() = {};
         }
         http::response_serializer<http::span_body<const char>> serializer(
             message);
         boost::system::error_code failed;
-        if (bodiless)
+        if (omits_body)
         {
             std::tie(failed, std::ignore) = co_await http::async_write_header(
                 stream_, serializer, as_tuple_awaitable);
@@ -254,16 +257,16 @@
             std::tie(failed, std::ignore) = co_await http::async_write(
                 stream_, serializer, as_tuple_awaitable);
         }
-        finished_ = !failed;
-        co_return finished_;
+        answer_finished_ = !failed;
+        co_return answer_finished_;
     }
 
     asio::awaitable<bool> begin_answer(
         wire::response_head head, std::optional<std::uint64_t> length) override
     {
-        begin();
+        begin_head();
         response_.version(http_11);
-        fill_head(response_, head, told_to_keep_);
+        fill_head(response_, head, keeps_connection_);
         if (length)
         {
             response_.content_length(*length);
@@ -300,7 +303,7 @@
     {
         if (is_head_request())
         {
-            finished_ = true;
+            answer_finished_ = true;
             co_return true;
         }
         auto& body = response_.body();
@@ -309,18 +312,18 @@
         body.more = false;
         auto [failed, size] = co_await http::async_write(
             stream_, *serializer_, as_tuple_awaitable);
-        finished_ = !failed;
-        co_return finished_;
+        answer_finished_ = !failed;
+        co_return answer_finished_;
     }
 
-    void on_disconnect(std::function<void()> gone) override
+    void on_disconnect(std::function<void()> on_gone) override
     {
         if (!parser_.is_done() || buffer_.size() > 0)
         {
             return;
         }
         watch_ = std::make_shared<disconnect_watch>();
-        watch_->gone = std::move(gone);
+        watch_->on_gone = std::move(on_gone);
         std::weak_ptr<disconnect_watch> weak = watch_;
         auto* socket = &stream_.socket();
         socket->async_wait(
@@ -332,7 +335,7 @@
                 {
                     return;
                 }
-                const auto callback = std::exchange(watch->gone, nullptr);
+                const auto callback = std::exchange(watch->on_gone, nullptr);
                 if (callback)
                 {
                     callback();
@@ -340,23 +343,23 @@
             });
     }
 
-    void on_give_up(std::function<void()> end) override
+    void on_give_up(std::function<void()> callback) override
     {
         if (is_given_up())
         {
-            end();
+            callback();
             return;
         }
-        give_up_ = std::move(end);
+        give_up_callback_ = std::move(callback);
     }
 
     [[nodiscard]] std::function<void()> give_up()
     {
-        if (is_reading_)
+        if (is_reading_body_)
         {
             stream_.cancel();
         }
-        return std::exchange(give_up_, nullptr);
+        return std::exchange(give_up_callback_, nullptr);
     }
 
     // The caller still sends what nobody will read.
@@ -368,13 +371,13 @@
     // No answer was begun, and none will be: the handler has returned.
     [[nodiscard]] bool is_unanswered() const
     {
-        return is_given_up() && !begun_;
+        return is_given_up() && !answer_begun_;
     }
 
     // The whole answer was written and the connection can serve another.
-    [[nodiscard]] bool reusable() const
+    [[nodiscard]] bool can_serve_next() const
     {
-        return finished_ && told_to_keep_;
+        return answer_finished_ && keeps_connection_;
     }
 
     void close_after_answer()
@@ -387,7 +390,7 @@
     {
         using milliseconds = std::chrono::duration<double, std::milli>;
         const std::string_view path(head_.path);
-        const milliseconds age = host_clock().now() - *read_at_;
+        const milliseconds age = host_clock().now() - *head_read_at_;
         log_event(
             event::request_unanswered,
             {{"method", head_.method},
@@ -414,37 +417,38 @@
         return parser_.get().method() == http::verb::head;
     }
 
-    [[nodiscard]] bool may_keep() const
+    [[nodiscard]] bool can_keep_alive() const
     {
-        return keep_alive_ && !broken_ && parser_.is_done() &&
-               taking_ == intake::open;
+        return keep_alive_ && !read_failed_ && parser_.is_done() &&
+               intake_ == intake_state::open;
     }
 
     [[nodiscard]] bool is_given_up() const
     {
-        return taking_ == intake::giving_up;
+        return intake_ == intake_state::giving_up;
     }
 
     // The answer's head says whether the connection is kept.
-    void begin()
+    void begin_head()
     {
         stop_watch();
-        begun_ = true;
-        give_up_ = nullptr;
-        told_to_keep_ = may_keep();
+        answer_begun_ = true;
+        give_up_callback_ = nullptr;
+        keeps_connection_ = can_keep_alive();
     }
 
     asio::awaitable<bool> send_continue()
     {
-        if (continued_ ||
+        if (continue_sent_ ||
             !beast::iequals(parser_.get()[http::field::expect], "100-continue"))
         {
             co_return true;
         }
-        continued_ = true;
-        http::response<http::empty_body> go_on(http::status::continue_, 11);
-        auto [failed, size] =
-            co_await http::async_write(stream_, go_on, as_tuple_awaitable);
+        continue_sent_ = true;
+        http::response<http::empty_body> continue_response(
+            http::status::continue_, 11);
+        auto [failed, size] = co_await http::async_write(
+            stream_, continue_response, as_tuple_awaitable);
         co_return !failed;
     }
 
@@ -459,40 +463,40 @@
 
     beast::tcp_stream& stream_;
     beast::flat_buffer& buffer_;
-    const intake& taking_;
+    const intake_state& intake_;
     http::request_parser<http::buffer_body> parser_;
     wire::request_head head_;
     http::response<http::buffer_body> response_;
     std::optional<http::response_serializer<http::buffer_body>> serializer_;
     std::shared_ptr<disconnect_watch> watch_;
-    std::function<void()> give_up_;
-    std::optional<time_point> read_at_;
+    std::function<void()> give_up_callback_;
+    std::optional<time_point> head_read_at_;
     bool keep_alive_ = false;
-    bool told_to_keep_ = false;
-    bool begun_ = false;
-    bool is_reading_ = false;
-    bool continued_ = false;
-    bool broken_ = false;
-    bool finished_ = false;
+    bool keeps_connection_ = false;
+    bool answer_begun_ = false;
+    bool is_reading_body_ = false;
+    bool continue_sent_ = false;
+    bool read_failed_ = false;
+    bool answer_finished_ = false;
 };
 
 // Counts a connection or a request for as long as it lives.
-class counted
+class scoped_count
 {
 public:
-    explicit counted(std::size_t& counter)
+    explicit scoped_count(std::size_t& counter)
         : counter_(counter)
     {
         ++counter_;
     }
 
-    ~counted()
+    ~scoped_count()
     {
         --counter_;
     }
 
-    counted(const counted&) = delete;
-    counted& operator=(const counted&) = delete;
+    scoped_count(const scoped_count&) = delete;
+    scoped_count& operator=(const scoped_count&) = delete;
 
 private:
     std::size_t& counter_;
@@ -500,23 +504,23 @@
 
 // Keeps an entry in a set for as long as it lives.
 template <class Value>
-class listed
+class scoped_entry
 {
 public:
-    listed(std::set<Value*>& all, Value& value)
+    scoped_entry(std::set<Value*>& all, Value& value)
         : all_(all)
         , value_(value)
     {
         all_.insert(&value_);
     }
 
-    ~listed()
+    ~scoped_entry()
     {
         all_.erase(&value_);
     }
 
-    listed(const listed&) = delete;
-    listed& operator=(const listed&) = delete;
+    scoped_entry(const scoped_entry&) = delete;
+    scoped_entry& operator=(const scoped_entry&) = delete;
 
 private:
     std::set<Value*>& all_;
@@ -532,12 +536,12 @@
     {
         co_return true;
     }
-    if (server.taking >= intake::closed)
+    if (server.intake >= intake_state::closed)
     {
         co_return false;
     }
-    const listed mark(server.idle, stream);
-    stream.expires_after(server.options.idle_limit);
+    const scoped_entry stream_entry(server.idle_streams, stream);
+    stream.expires_after(server.options.idle_timeout);
     auto [failed, size] = co_await stream.async_read_some(
         buffer.prepare(first_read_bytes), as_tuple_awaitable);
     buffer.commit(size);
@@ -547,7 +551,7 @@
 // What becomes of a connection after a request.
 enum class after_request : std::uint8_t
 {
-    keep,
+    keep_alive,
     close,
     // Close, though the caller still sends.
     linger
@@ -562,13 +566,14 @@
         co_return after_request::close;
     }
     beast_exchange exchange(
-        stream, buffer, server.options.header_bytes, server.taking);
+        stream, buffer, server.options.header_bytes, server.intake);
     boost::system::error_code failed;
     {
-        const listed mark(server.reading, stream);
+        const scoped_entry stream_entry(server.streams_reading_head, stream);
         stream.expires_after(
-            server.taking == intake::giving_up ? last_head_limit
-                                               : server.options.idle_limit);
+            server.intake == intake_state::giving_up
+                ? final_head_timeout
+                : server.options.idle_timeout);
         failed = co_await exchange.read_head();
     }
     stream.expires_never();
@@ -585,8 +590,8 @@
     {
         co_return after_request::close;
     }
-    const counted one(server.in_flight);
-    const listed work(server.in_work, exchange);
+    const scoped_count count_guard(server.in_flight);
+    const scoped_entry exchange_entry(server.active_exchanges, exchange);
     co_await server.handler(exchange);
     if (exchange.is_unanswered())
     {
@@ -594,9 +599,9 @@
             502, {{"nutmeg-outcome", "unknown"}, {"nutmeg-reason", "leaving"}}};
         co_await exchange.answer(std::move(head), "");
     }
-    if (exchange.reusable())
+    if (exchange.can_serve_next())
     {
-        co_return after_request::keep;
+        co_return after_request::keep_alive;
     }
     co_return exchange.has_unread_body() ? after_request::linger
                                          : after_request::close;
@@ -607,9 +612,9 @@
 asio::awaitable<void> linger(State& server, beast::tcp_stream& stream)
 {
     std::array<char, 4096> dropped;
-    stream.expires_after(linger_limit);
+    stream.expires_after(linger_timeout);
     bool open = true;
-    while (open && server.taking != intake::giving_up)
+    while (open && server.intake != intake_state::giving_up)
     {
         auto [failed, size] = co_await stream.async_read_some(
             asio::buffer(dropped), as_tuple_awaitable);
@@ -621,12 +626,12 @@
 asio::awaitable<void> serve_connection(
     std::shared_ptr<State> server, std::unique_ptr<beast::tcp_stream> stream)
 {
-    const counted one(server->connections);
+    const scoped_count count_guard(server->connections);
     boost::system::error_code ignored;
     stream->socket().set_option(tcp::no_delay(true), ignored);
     beast::flat_buffer buffer;
-    auto after = after_request::keep;
-    while (after == after_request::keep)
+    auto after = after_request::keep_alive;
+    while (after == after_request::keep_alive)
     {
         after = co_await serve_request(*server, *stream, buffer);
     }
@@ -649,7 +654,7 @@
         {
             continue;
         }
-        if (server->taking >= intake::closed ||
+        if (server->intake >= intake_state::closed ||
             server->connections >= server->options.connections)
         {
             continue; // closes it
@@ -671,9 +676,9 @@
     http_handler handler,
     const http_server_options& options)
 {
-    auto made = std::make_shared<state>(context, std::move(handler));
-    made->options = options;
-    auto& acceptor = made->acceptor;
+    auto server_state = std::make_shared<state>(context, std::move(handler));
+    server_state->options = options;
+    auto& acceptor = server_state->acceptor;
     boost::system::error_code failed;
     acceptor.open(address.protocol(), failed);
     if (!failed)
@@ -698,8 +703,9 @@
     {
         return leaf::new_error(listen_error{address, failed});
     }
-    asio::co_spawn(context, accept_all(made), asio::detached);
-    return std::unique_ptr<http_server>(new http_server(std::move(made)));
+    asio::co_spawn(context, accept_all(server_state), asio::detached);
+    return std::unique_ptr<http_server>(
+        new http_server(std::move(server_state)));
 }
 
 http_server::http_server(std::shared_ptr<state> state)
@@ -720,18 +726,18 @@
 
 void http_server::close_after_answers()
 {
-    if (state_->taking == intake::open)
+    if (state_->intake == intake_state::open)
     {
-        state_->taking = intake::closing_after_answers;
+        state_->intake = intake_state::closing_after_answers;
     }
 }
 
 void http_server::close_intake()
 {
-    state_->taking = std::max(state_->taking, intake::closed);
+    state_->intake = std::max(state_->intake, intake_state::closed);
     boost::system::error_code ignored;
     state_->acceptor.close(ignored);
-    for (auto* stream : state_->idle)
+    for (auto* stream : state_->idle_streams)
     {
         stream->cancel();
     }
@@ -739,22 +745,22 @@
 
 void http_server::give_up()
 {
-    state_->taking = intake::giving_up;
-    for (auto* stream : state_->reading)
+    state_->intake = intake_state::giving_up;
+    for (auto* stream : state_->streams_reading_head)
     {
         stream->cancel();
     }
     // Collected first: an exchange may end while one of them is called.
-    std::vector<std::function<void()>> ends;
-    for (auto* exchange : state_->in_work)
+    std::vector<std::function<void()>> callbacks;
+    for (auto* exchange : state_->active_exchanges)
     {
-        ends.push_back(exchange->give_up());
+        callbacks.push_back(exchange->give_up());
     }
-    for (const auto& end : ends)
+    for (const auto& callback : callbacks)
     {
-        if (end)
+        if (callback)
         {
-            end();
+            callback();
         }
     }
 }
--- a/nutmegusher/node/http_server.hpp
+++ b/nutmegusher/node/http_server.hpp
@@ -66,15 +66,15 @@
     // The clean end of an answer that was begun.
     virtual asio::awaitable<bool> end_answer() = 0;
 
-    // Calls `gone` once if the caller closes its connection before the answer
-    // begins. Requires: the request's body was read to its end.
-    virtual void on_disconnect(std::function<void()> gone) = 0;
-
-    // Calls `end` once if the process ends before the answer has begun: the
-    // handler must give its final answer at once. The last call counts; at once
-    // where that is so already. One that reads the body gets `given_up` from
-    // there.
-    virtual void on_give_up(std::function<void()> end) = 0;
+    // Calls `on_gone` once if the caller closes its connection before the
+    // answer begins. Requires: the request's body was read to its end.
+    virtual void on_disconnect(std::function<void()> on_gone) = 0;
+
+    // Calls `callback` once if the process ends before the answer has begun:
+    // the handler must give its final answer at once. The last call counts; at
+    // once where that is so already. One that reads the body gets `given_up`
+    // from there.
+    virtual void on_give_up(std::function<void()> callback) = 0;
 };
 
 using http_handler = std::function<asio::awaitable<void>(caller_exchange&)>;
@@ -84,7 +84,7 @@
     std::uint32_t connections = 4096;
     std::uint32_t header_bytes = 16384;
     // A connection without a request for this long is closed.
-    duration idle_limit = std::chrono::seconds(60);
+    duration idle_timeout = std::chrono::seconds(60);
     bool reuse_port = false;
 };
 
--- a/nutmegusher/node/http_server_test.cpp
+++ b/nutmegusher/node/http_server_test.cpp
@@ -53,12 +53,13 @@
     std::string receive_all()
     {
         std::string text;
-        std::array<char, 1024> piece{};
+        std::array<char, 1024> chunk{};
         boost::system::error_code failed;
         while (!failed)
         {
-            const auto got = socket_.read_some(asio::buffer(piece), failed);
-            text.append(piece.data(), got);
+            const auto read_size =
+                socket_.read_some(asio::buffer(chunk), failed);
+            text.append(chunk.data(), read_size);
         }
         return text;
     }
@@ -83,9 +84,10 @@
 protected:
     void serve(http_handler handler)
     {
-        const tcp::endpoint any(asio::ip::make_address("127.0.0.1"), 0);
+        const tcp::endpoint any_port(asio::ip::make_address("127.0.0.1"), 0);
         server = std::move(
-            http_server::listen(context, any, std::move(handler), {}).value());
+            http_server::listen(context, any_port, std::move(handler), {})
+                .value());
         thread = std::thread(
             [this]
             {
@@ -101,7 +103,7 @@
 
     // Runs on the server's thread.
     template <class Action>
-    auto there(Action action)
+    auto run_on_server(Action action)
     {
         std::promise<decltype(action())> result;
         asio::post(
@@ -123,7 +125,7 @@
 
     void close_intake()
     {
-        there(
+        run_on_server(
             [this]
             {
                 server->close_intake();
@@ -132,7 +134,7 @@
 
     void give_up()
     {
-        there(
+        run_on_server(
             [this]
             {
                 server->give_up();
@@ -141,7 +143,7 @@
 
     std::size_t connections()
     {
-        return there(
+        return run_on_server(
             [this]
             {
                 return server->connections();
@@ -167,7 +169,7 @@
             });
     }
 
-    // Answers after `held` is false.
+    // Answers after `answers_held` is false.
     asio::awaitable<void> answer_when_released(caller_exchange& exchange)
     {
         ++handled;
@@ -178,7 +180,7 @@
             {
                 given_up = true;
             });
-        while (held && !given_up)
+        while (answers_held && !given_up)
         {
             timer.expires_after(milliseconds(1));
             co_await timer.async_wait(asio::use_awaitable);
@@ -200,7 +202,7 @@
     asio::executor_work_guard<asio::io_context::executor_type> work =
         asio::make_work_guard(context);
     std::unique_ptr<http_server> server;
-    std::atomic<bool> held = false;
+    std::atomic<bool> answers_held = false;
     std::atomic<std::size_t> handled = 0;
     std::thread thread;
 };
@@ -209,13 +211,13 @@
 TEST_F(http_server_end, a_request_that_was_read_has_an_answer)
 {
     std::mutex mutex;
-    std::set<std::string> passed_on;
+    std::set<std::string> handled_paths;
     serve(
         [&](caller_exchange& exchange) -> asio::awaitable<void>
         {
             {
                 const std::scoped_lock lock(mutex);
-                passed_on.insert(exchange.head().path);
+                handled_paths.insert(exchange.head().path);
             }
             wire::response_head head{200, {}};
             co_await exchange.answer(std::move(head), "");
@@ -247,7 +249,8 @@
     {
         const auto answer = all[i]->receive_all();
         const std::scoped_lock lock(mutex);
-        EXPECT_EQ(answer.empty(), !passed_on.contains("/" + std::to_string(i)));
+        EXPECT_EQ(
+            answer.empty(), !handled_paths.contains("/" + std::to_string(i)));
     }
     EXPECT_TRUE(wait_for(
         [this]
@@ -260,27 +263,28 @@
 TEST_F(http_server_end, a_head_that_has_begun_is_served)
 {
     serve_when_released();
-    caller one(server->local_endpoint());
+    caller client(server->local_endpoint());
     const auto request = request_for("/");
-    one.send(request.substr(0, 10));
+    client.send(request.substr(0, 10));
     std::this_thread::sleep_for(milliseconds(20));
     close_intake();
     EXPECT_EQ(connections(), 1U);
-    one.send(request.substr(10));
-    EXPECT_NE(one.receive_all().find("200 OK"), std::string::npos);
+    client.send(request.substr(10));
+    EXPECT_NE(client.receive_all().find("200 OK"), std::string::npos);
     EXPECT_EQ(connections(), 0U);
 }
 
 TEST_F(http_server_end, an_answer_during_the_close_says_so)
 {
-    held = true;
+    answers_held = true;
     serve_when_released();
-    caller one(server->local_endpoint());
-    one.send(request_for("/"));
+    caller client(server->local_endpoint());
+    client.send(request_for("/"));
     EXPECT_TRUE(wait_handled(1));
     close_intake();
-    held = false;
-    EXPECT_NE(one.receive_all().find("Connection: close"), std::string::npos);
+    answers_held = false;
+    EXPECT_NE(
+        client.receive_all().find("Connection: close"), std::string::npos);
 }
 
 TEST_F(http_server_end, takes_no_connection_after_the_close)
@@ -293,16 +297,16 @@
     EXPECT_THROW(caller{address}, boost::system::system_error);
 }
 
-TEST_F(http_server_end, what_is_owed_is_answered_when_it_gives_up)
+TEST_F(http_server_end, a_request_in_flight_is_answered_on_give_up)
 {
-    held = true;
+    answers_held = true;
     serve_when_released();
-    caller one(server->local_endpoint());
-    one.send(request_for("/"));
+    caller client(server->local_endpoint());
+    client.send(request_for("/"));
     EXPECT_TRUE(wait_handled(1));
     close_intake();
     give_up();
-    EXPECT_NE(one.receive_all().find("503"), std::string::npos);
+    EXPECT_NE(client.receive_all().find("503"), std::string::npos);
     EXPECT_EQ(connections(), 0U);
 }
 
@@ -313,16 +317,17 @@
         [&](caller_exchange& exchange) -> asio::awaitable<void>
         {
             ++handled;
-            std::array<std::byte, 16> piece;
-            const auto got = co_await exchange.read_some(piece);
-            seen = got ? std::nullopt : std::optional(got.error());
+            std::array<std::byte, 16> chunk;
+            const auto read_size = co_await exchange.read_some(chunk);
+            seen = read_size ? std::nullopt : std::optional(read_size.error());
         });
-    caller one(server->local_endpoint());
-    one.send("POST / HTTP/1.1\r\nHost: a.example\r\nContent-Length: 9\r\n\r\n");
+    caller client(server->local_endpoint());
+    client.send(
+        "POST / HTTP/1.1\r\nHost: a.example\r\nContent-Length: 9\r\n\r\n");
     EXPECT_TRUE(wait_handled(1));
     close_intake();
     give_up();
-    EXPECT_NE(one.receive_all().find("502"), std::string::npos);
+    EXPECT_NE(client.receive_all().find("502"), std::string::npos);
     EXPECT_EQ(seen, caller_failure::given_up);
 }
 
@@ -330,21 +335,22 @@
 // reading, ends too.
 TEST_F(http_server_end, a_head_that_comes_while_it_gives_up_is_answered)
 {
-    held = true;
+    answers_held = true;
     serve_when_released();
-    constexpr int most_hops = 6;
-    for (int hops = 0; hops <= most_hops; ++hops)
+    constexpr int max_hops = 6;
+    for (int hops = 0; hops <= max_hops; ++hops)
     {
         SCOPED_TRACE(hops);
         if (hops > 0)
         {
-            const tcp::endpoint any(asio::ip::make_address("127.0.0.1"), 0);
-            server = there(
+            const tcp::endpoint any_port(
+                asio::ip::make_address("127.0.0.1"), 0);
+            server = run_on_server(
                 [&]
                 {
                     return std::move(http_server::listen(
                                          context,
-                                         any,
+                                         any_port,
                                          [this](caller_exchange& exchange)
                                          {
                                              return answer_when_released(
@@ -354,8 +360,8 @@
                                          .value());
                 });
         }
-        held = true;
-        caller one(server->local_endpoint());
+        answers_held = true;
+        caller client(server->local_endpoint());
         EXPECT_TRUE(wait_for(
             [this]
             {
@@ -363,27 +369,27 @@
             }));
         // The bytes are there before the next look at the sockets; then the
         // server closes and gives up so many handlers later.
-        std::function<void(int)> go = [&](int left)
+        std::function<void(int)> give_up_after_hops = [&](int left)
         {
             if (left > 0)
             {
                 asio::post(
                     context,
-                    [&go, left]
+                    [&give_up_after_hops, left]
                     {
-                        go(left - 1);
+                        give_up_after_hops(left - 1);
                     });
                 return;
             }
             server->close_intake();
             server->give_up();
         };
-        there(
+        run_on_server(
             [&]
             {
-                one.send(request_for("/"));
+                client.send(request_for("/"));
                 std::this_thread::sleep_for(milliseconds(20));
-                go(hops);
+                give_up_after_hops(hops);
             });
         const auto until = host_clock().now() + milliseconds(2000);
         while (connections() > 0 && host_clock().now() < until)
@@ -391,7 +397,7 @@
             std::this_thread::sleep_for(milliseconds(1));
         }
         EXPECT_EQ(connections(), 0U) << "owed, and never told to end";
-        held = false;
+        answers_held = false;
         EXPECT_TRUE(wait_for(
             [this]
             {
@@ -401,77 +407,77 @@
 }
 
 // As `forward_try` does: it awaits a connection first.
-TEST_F(http_server_end, a_request_that_asks_after_the_giving_up_is_told_too)
+TEST_F(http_server_end, on_give_up_after_give_up_calls_back_at_once)
 {
-    held = true;
-    std::atomic<bool> told = false;
+    answers_held = true;
+    std::atomic<bool> notified = false;
     serve(
         [&](caller_exchange& exchange) -> asio::awaitable<void>
         {
             ++handled;
             asio::steady_timer timer(context);
-            while (held)
+            while (answers_held)
             {
                 timer.expires_after(milliseconds(1));
                 co_await timer.async_wait(asio::use_awaitable);
             }
             exchange.on_give_up(
-                [&told]
+                [&notified]
                 {
-                    told = true;
+                    notified = true;
                 });
             const auto until = host_clock().now() + milliseconds(2000);
-            while (!told && host_clock().now() < until)
+            while (!notified && host_clock().now() < until)
             {
                 timer.expires_after(milliseconds(1));
                 co_await timer.async_wait(asio::use_awaitable);
             }
-            wire::response_head head{told ? 503U : 200U, {}};
+            wire::response_head head{notified ? 503U : 200U, {}};
             co_await exchange.answer(std::move(head), "");
         });
-    caller one(server->local_endpoint());
-    one.send(request_for("/"));
+    caller client(server->local_endpoint());
+    client.send(request_for("/"));
     EXPECT_TRUE(wait_handled(1));
     close_intake();
     give_up();
-    held = false;
-    EXPECT_NE(one.receive_all().find("503"), std::string::npos);
-    EXPECT_TRUE(told);
+    answers_held = false;
+    EXPECT_NE(client.receive_all().find("503"), std::string::npos);
+    EXPECT_TRUE(notified);
 }
 
 // A body whose reading begins after the giving up.
-TEST_F(
-    http_server_end, a_body_that_is_asked_for_after_it_gave_up_is_not_awaited)
+TEST_F(http_server_end, a_body_read_after_give_up_fails_at_once)
 {
-    held = true;
+    answers_held = true;
     std::optional<caller_failure> seen;
     serve(
         [&](caller_exchange& exchange) -> asio::awaitable<void>
         {
             ++handled;
             asio::steady_timer timer(context);
-            while (held)
+            while (answers_held)
             {
                 timer.expires_after(milliseconds(1));
                 co_await timer.async_wait(asio::use_awaitable);
             }
-            std::array<std::byte, 16> piece;
-            const auto got = co_await exchange.read_some(piece);
-            seen = got ? std::nullopt : std::optional(got.error());
+            std::array<std::byte, 16> chunk;
+            const auto read_size = co_await exchange.read_some(chunk);
+            seen = read_size ? std::nullopt : std::optional(read_size.error());
         });
-    caller one(server->local_endpoint());
-    one.send("POST / HTTP/1.1\r\nHost: a.example\r\nContent-Length: 9\r\n\r\n");
+    caller client(server->local_endpoint());
+    client.send(
+        "POST / HTTP/1.1\r\nHost: a.example\r\nContent-Length: 9\r\n\r\n");
     EXPECT_TRUE(wait_handled(1));
     close_intake();
     give_up();
-    held = false;
+    answers_held = false;
     const auto until = host_clock().now() + milliseconds(2000);
     while (connections() > 0 && host_clock().now() < until)
     {
         std::this_thread::sleep_for(milliseconds(1));
     }
     EXPECT_EQ(connections(), 0U);
-    one.send("123456789");
+    client.send("123456789");
     EXPECT_TRUE(wait_for(
         [this]
         {
@@ -490,17 +496,17 @@
             co_await exchange.answer(std::move(head), large);
         });
     constexpr std::size_t body_bytes = 4 * 1024 * 1024;
-    caller one(server->local_endpoint());
+    caller client(server->local_endpoint());
     std::thread sending(
-        [&one]
+        [&client]
         {
-            one.send(
+            client.send(
                 "POST / HTTP/1.1\r\nHost: a.example\r\nContent-Length: " +
                 std::to_string(body_bytes) + "\r\n\r\n");
-            one.send(std::string(body_bytes, 'y'));
+            client.send(std::string(body_bytes, 'y'));
         });
     std::this_thread::sleep_for(milliseconds(50));
-    const auto answer = one.receive_all();
+    const auto answer = client.receive_all();
     sending.join();
     EXPECT_GT(answer.size(), large.size());
 }
--- a/nutmegusher/node/json_messages.cpp
+++ b/nutmegusher/node/json_messages.cpp
@@ -31,7 +31,7 @@
     }
 
     [[nodiscard]] leaf::result<void>
-    only(std::initializer_list<std::string_view> known) const
+    reject_unknown_fields(std::initializer_list<std::string_view> known) const
     {
         for (const auto& item : object_)
         {
@@ -134,7 +134,8 @@
 
 leaf::result<messages::class_target> read_target(const object_reader& in)
 {
-    BOOST_LEAF_CHECK(in.only({"latency_ms", "completion_ppm"}));
+    BOOST_LEAF_CHECK(
+        in.reject_unknown_fields({"latency_ms", "completion_ppm"}));
     messages::class_target target;
     BOOST_LEAF_AUTO(latency, in.count<std::uint32_t>("latency_ms", true));
     BOOST_LEAF_AUTO(
@@ -146,7 +147,7 @@
 
 leaf::result<messages::work_class> read_class(const object_reader& in)
 {
-    BOOST_LEAF_CHECK(in.only(
+    BOOST_LEAF_CHECK(in.reject_unknown_fields(
         {"name",
          "service",
          "method",
@@ -186,7 +187,8 @@
     else if (in.has("set_target"))
     {
         BOOST_LEAF_AUTO(object, in.object("set_target"));
-        BOOST_LEAF_CHECK(object.only({"class_name", "target"}));
+        BOOST_LEAF_CHECK(
+            object.reject_unknown_fields({"class_name", "target"}));
         BOOST_LEAF_AUTO(name, object.text("class_name", true));
         BOOST_LEAF_AUTO(target_in, object.object("target"));
         BOOST_LEAF_AUTO(target, read_target(target_in));
@@ -252,7 +254,7 @@
         return leaf::new_error(json_error{json_problem::not_an_object, ""});
     }
     const object_reader in(value.get_object(), "");
-    BOOST_LEAF_CHECK(in.only(
+    BOOST_LEAF_CHECK(in.reject_unknown_fields(
         {"change_id",
          "based_on",
          "author",
@@ -288,10 +290,10 @@
     json::array classes;
     for (const auto& item : from.classes())
     {
-        auto shown = to_json(item);
+        auto class_json = to_json(item);
         // What a change of this class is based on.
-        shown.get_object()["revision"] = item.revision();
-        classes.push_back(std::move(shown));
+        class_json.get_object()["revision"] = item.revision();
+        classes.push_back(std::move(class_json));
     }
     return json::object{
         {"revision", from.revision()}, {"classes", std::move(classes)}};
--- a/nutmegusher/node/json_messages_test.cpp
+++ b/nutmegusher/node/json_messages_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::string_view good = R"({"change_id": "c-1", "based_on": 3,
+constexpr std::string_view valid_change = R"({"change_id": "c-1", "based_on": 3,
  "declare": {"name": "payouts", "service": "disbursement", "rank": 0,
  "target": {"latency_ms": 800, "completion_ppm": 999000}}})";
 
@@ -33,14 +33,14 @@
 
 std::string replaced(std::string_view from, std::string_view to)
 {
-    std::string text(good);
+    std::string text(valid_change);
     text.replace(text.find(from), from.size(), to);
     return text;
 }
 
 TEST(parse_change, reads_a_declaration)
 {
-    const auto change = parse_change(good);
+    const auto change = parse_change(valid_change);
     ASSERT_TRUE(change);
     EXPECT_EQ(change->based_on(), 3U);
     EXPECT_EQ(change->declare().path_prefix(), "/");
@@ -64,9 +64,9 @@
         error_of(replaced("\"change_id\": \"c-1\", ", "")).field, "change_id");
 }
 
-TEST(parse_change, survives_its_json)
+TEST(parse_change, round_trips_through_json)
 {
-    const auto change = parse_change(good);
+    const auto change = parse_change(valid_change);
     ASSERT_TRUE(change);
     const auto again = parse_change(json::serialize(to_json(*change)));
     ASSERT_TRUE(again);
--- a/nutmegusher/node/metrics.cpp
+++ b/nutmegusher/node/metrics.cpp
@@ -18,17 +18,17 @@
 
 // Latencies from 50 µs to 60 s, about 12 bins for each factor of ten.
 constexpr unsigned latency_bins = 73;
-constexpr double least_latency_ms = 0.05;
-constexpr double most_latency_ms = 60000.0;
+constexpr double min_latency_ms = 0.05;
+constexpr double max_latency_ms = 60000.0;
 // Classes of one shard and side that are counted by name; the rest are counted
 // together. A class takes 700 bytes, and its name may change with each change
 // of the configuration.
-constexpr std::size_t most_classes = 128;
+constexpr std::size_t max_named_classes = 128;
 constexpr std::array quantiles{0.5, 0.9, 0.99, 0.999};
 
 using latency_axis = bh::axis::regular<double, bh::axis::transform::log>;
 using latency_histogram = decltype(bh::make_histogram(
-    latency_axis(latency_bins, least_latency_ms, most_latency_ms)));
+    latency_axis(latency_bins, min_latency_ms, max_latency_ms)));
 
 std::string_view side_text(call_side side)
 {
@@ -41,7 +41,7 @@
     std::uint64_t tries = 0;
     std::map<std::pair<call_reason, call_outcome>, std::uint64_t> refused;
     latency_histogram latency = bh::make_histogram(
-        latency_axis(latency_bins, least_latency_ms, most_latency_ms));
+        latency_axis(latency_bins, min_latency_ms, max_latency_ms));
 };
 
 using class_key = std::pair<class_name, call_side>;
@@ -50,13 +50,13 @@
 double quantile_of(const latency_histogram& histogram, double quantile)
 {
     const auto total = bh::algorithm::sum(histogram);
-    double seen = 0;
+    double cumulative = 0;
     for (const auto& bin : bh::indexed(histogram, bh::coverage::all))
     {
-        seen += *bin;
-        if (total > 0 && seen >= quantile * total)
+        cumulative += *bin;
+        if (total > 0 && cumulative >= quantile * total)
         {
-            return std::min(bin.bin().upper(), most_latency_ms);
+            return std::min(bin.bin().upper(), max_latency_ms);
         }
     }
     return 0;
@@ -65,7 +65,7 @@
 std::uint64_t refused_total(const class_counts& counts)
 {
     std::uint64_t total = 0;
-    for (const auto& [why, count] : counts.refused)
+    for (const auto& [reason_and_outcome, count] : counts.refused)
     {
         total += count;
     }
@@ -78,33 +78,36 @@
            std::string(side_text(key.second)) + "\"";
 }
 
-void expose(std::string& out, const class_key& key, const class_counts& counts)
+void append_class(
+    std::string& out, const class_key& key, const class_counts& counts)
 {
     const auto labels = labels_of(key);
-    const auto line =
-        [&out](std::string_view name, const std::string& with, auto value)
+    const auto append_line =
+        [&out](
+            std::string_view name, const std::string& line_labels, auto value)
     {
-        out += "nutmegusher_" + std::string(name) + "{" + with + "} " +
+        out += "nutmegusher_" + std::string(name) + "{" + line_labels + "} " +
                std::to_string(value) + "\n";
     };
-    line(
+    append_line(
         "requests_offered_total",
         labels,
         counts.completed + refused_total(counts));
-    line("requests_completed_total", labels, counts.completed);
-    line("tries_total", labels, counts.tries);
-    for (const auto& [why, count] : counts.refused)
+    append_line("requests_completed_total", labels, counts.completed);
+    append_line("tries_total", labels, counts.tries);
+    for (const auto& [reason_and_outcome, count] : counts.refused)
     {
-        line(
+        append_line(
             "requests_refused_total",
-            labels + ",reason=\"" + std::string(node::to_string(why.first)) +
-                "\",outcome=\"" + std::string(node::to_string(why.second)) +
-                "\"",
+            labels + ",reason=\"" +
+                std::string(node::to_string(reason_and_outcome.first)) +
+                "\",outcome=\"" +
+                std::string(node::to_string(reason_and_outcome.second)) + "\"",
             count);
     }
     for (const auto quantile : quantiles)
     {
-        line(
+        append_line(
             "latency_milliseconds",
             labels + ",quantile=\"" + std::to_string(quantile) + "\"",
             quantile_of(counts.latency, quantile));
@@ -114,11 +117,11 @@
 json::object dump_class(const class_key& key, const class_counts& counts)
 {
     json::object refused;
-    for (const auto& [why, count] : counts.refused)
+    for (const auto& [reason_and_outcome, count] : counts.refused)
     {
         refused
-            [std::string(node::to_string(why.first)) + "/" +
-             std::string(node::to_string(why.second))] = count;
+            [std::string(node::to_string(reason_and_outcome.first)) + "/" +
+             std::string(node::to_string(reason_and_outcome.second))] = count;
     }
     return {
         {"class", key.first.str()},
@@ -137,12 +140,12 @@
     mutable std::mutex mutex;
     std::map<class_key, class_counts> classes;
 
-    class_counts& counts_of(const class_name& of, call_side side)
+    class_counts& counts_of(const class_name& name, call_side side)
     {
-        const bool is_known = classes.contains({of, side});
-        const bool has_room = classes.size() < most_classes;
+        const bool is_known = classes.contains({name, side});
+        const bool has_room = classes.size() < max_named_classes;
         static const class_name all_others("other");
-        return classes[{is_known || has_room ? of : all_others, side}];
+        return classes[{is_known || has_room ? name : all_others, side}];
     }
 };
 
@@ -156,18 +159,21 @@
 
 metrics::~metrics() = default;
 
-metrics::shard& metrics::shard_of(const class_name& of) const
+metrics::shard& metrics::shard_of(const class_name& name) const
 {
-    return *shards_[stable_hash(of.str()) % shard_count];
+    return *shards_[stable_hash(name.str()) % shard_count];
 }
 
 void metrics::completed(
-    call_side side, const class_name& of, duration latency, std::uint32_t tries)
+    call_side side,
+    const class_name& name,
+    duration latency,
+    std::uint32_t tries)
 {
     using milliseconds = std::chrono::duration<double, std::milli>;
-    auto& shard = shard_of(of);
+    auto& shard = shard_of(name);
     const std::scoped_lock lock(shard.mutex);
-    auto& counts = shard.counts_of(of, side);
+    auto& counts = shard.counts_of(name, side);
     ++counts.completed;
     counts.tries += tries;
     counts.latency(milliseconds(latency).count());
@@ -175,14 +181,14 @@
 
 void metrics::refused(
     call_side side,
-    const class_name& of,
+    const class_name& name,
     call_reason reason,
     call_outcome result,
     std::uint32_t tries)
 {
-    auto& shard = shard_of(of);
+    auto& shard = shard_of(name);
     const std::scoped_lock lock(shard.mutex);
-    auto& counts = shard.counts_of(of, side);
+    auto& counts = shard.counts_of(name, side);
     counts.tries += tries;
     ++counts.refused[{reason, result}];
 }
@@ -199,7 +205,7 @@
         const std::scoped_lock lock(each->mutex);
         for (const auto& [key, counts] : each->classes)
         {
-            expose(out, key, counts);
+            append_class(out, key, counts);
         }
     }
     return out;
--- a/nutmegusher/node/metrics.hpp
+++ b/nutmegusher/node/metrics.hpp
@@ -34,14 +34,14 @@
     // A whole answer. `tries`: how many it took at this hop.
     void completed(
         call_side side,
-        const class_name& of,
+        const class_name& name,
         duration latency,
         std::uint32_t tries);
 
     // A call that was given up on.
     void refused(
         call_side side,
-        const class_name& of,
+        const class_name& name,
         call_reason reason,
         call_outcome result,
         std::uint32_t tries);
@@ -56,7 +56,7 @@
     // Classes are spread over the shards, each with a lock of its own.
     static constexpr std::size_t shard_count = 8;
 
-    shard& shard_of(const class_name& of) const;
+    shard& shard_of(const class_name& name) const;
 
     std::array<std::unique_ptr<shard>, shard_count> shards_;
 };
--- a/nutmegusher/node/metrics_test.cpp
+++ b/nutmegusher/node/metrics_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-TEST(metrics, names_without_end_are_counted_together)
+TEST(metrics, classes_over_the_limit_are_counted_together)
 {
     metrics counts;
     constexpr int names = 100'000;
--- a/nutmegusher/node/operator_api.cpp
+++ b/nutmegusher/node/operator_api.cpp
@@ -21,11 +21,11 @@
 namespace
 {
 
-constexpr std::size_t piece_bytes = 16384;
-constexpr std::size_t most_body_bytes = 1024 * 1024;
+constexpr std::size_t chunk_bytes = 16384;
+constexpr std::size_t max_body_bytes = 1024 * 1024;
 // For one change: a new leader is elected within it.
-constexpr duration change_limit = std::chrono::seconds(4);
-constexpr duration change_pause = std::chrono::milliseconds(50);
+constexpr duration change_timeout = std::chrono::seconds(4);
+constexpr duration retry_delay = std::chrono::milliseconds(50);
 
 struct operator_answer
 {
@@ -42,38 +42,42 @@
 asio::awaitable<std::optional<std::string>> read_all(caller_exchange& exchange)
 {
     std::string text;
-    std::array<std::byte, piece_bytes> piece;
-    while (text.size() <= most_body_bytes)
+    std::array<std::byte, chunk_bytes> chunk;
+    while (text.size() <= max_body_bytes)
     {
-        const auto got = co_await exchange.read_some(piece);
-        if (!got)
+        const auto read_size = co_await exchange.read_some(chunk);
+        if (!read_size)
         {
             co_return std::nullopt;
         }
-        if (*got == 0)
+        if (*read_size == 0)
         {
             co_return text;
         }
-        text.append(reinterpret_cast<const char*>(piece.data()), *got);
+        text.append(reinterpret_cast<const char*>(chunk.data()), *read_size);
     }
     co_return std::nullopt;
 }
 
 // One try at each control host, until one judges the change.
 asio::awaitable<messages::change_result>
-propose_change(worker& here, const messages::change& change)
+propose_change(worker& current_worker, const messages::change& change)
 {
     const auto body = change.SerializeAsString();
-    const auto until = host_clock().now() + change_limit;
-    asio::steady_timer pause(co_await asio::this_coro::executor);
+    const auto deadline = host_clock().now() + change_timeout;
+    asio::steady_timer retry_timer(co_await asio::this_coro::executor);
     messages::change_result result;
-    while (host_clock().now() < until)
+    while (host_clock().now() < deadline)
     {
-        for (const auto& host : here.shared.claims.control_hosts())
+        for (const auto& host : current_worker.shared.claims.control_hosts())
         {
-            const auto left = until - host_clock().now();
+            const auto remaining = deadline - host_clock().now();
             const auto answer = co_await wire::call(
-                here.peers, host, "/control/propose", body, left);
+                current_worker.peers,
+                host,
+                "/control/propose",
+                body,
+                remaining);
             if (answer && result.ParseFromString(*answer) &&
                 result.verdict() != messages::change_unavailable &&
                 result.verdict() != messages::change_verdict_none)
@@ -81,8 +85,8 @@
                 co_return result;
             }
         }
-        pause.expires_after(change_pause);
-        co_await pause.async_wait(asio::use_awaitable);
+        retry_timer.expires_after(retry_delay);
+        co_await retry_timer.async_wait(asio::use_awaitable);
     }
     result.Clear();
     result.set_verdict(messages::change_unavailable);
@@ -105,9 +109,10 @@
     }
 }
 
-asio::awaitable<operator_answer> answer_change(worker& here, std::string body)
+asio::awaitable<operator_answer>
+answer_change(worker& current_worker, std::string body)
 {
-    json_error wrong;
+    json_error parse_error;
     messages::change change;
     const bool parsed = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
@@ -117,7 +122,7 @@
         },
         [&](const json_error& error)
         {
-            wrong = error;
+            parse_error = error;
             return false;
         },
         []
@@ -126,18 +131,19 @@
         });
     if (!parsed)
     {
-        co_return operator_answer{422, to_json(wrong)};
+        co_return operator_answer{422, to_json(parse_error)};
     }
-    const auto result = co_await propose_change(here, change);
+    const auto result = co_await propose_change(current_worker, change);
     co_return operator_answer{status_of(result.verdict()), to_json(result)};
 }
 
-json::value quarantined(const worker& here, const operator_sources& sources)
+json::value
+quarantined(const worker& current_worker, const operator_callbacks& callbacks)
 {
     const auto now = host_clock().now();
-    const auto records = sources.control.quarantined
-                             ? sources.control.quarantined()
-                             : here.shared.crashes.quarantined();
+    const auto records = callbacks.control.quarantined
+                             ? callbacks.control.quarantined()
+                             : current_worker.shared.crashes.quarantined();
     json::array all;
     for (const auto& each : records)
     {
@@ -152,9 +158,9 @@
     return all;
 }
 
-json::value dump(worker& here, const operator_sources& sources)
+json::value dump(worker& current_worker, const operator_callbacks& callbacks)
 {
-    const auto& shared = here.shared;
+    const auto& shared = current_worker.shared;
     const auto admission = shared.admission.state();
     const auto lane = [](const lane_state& state)
     {
@@ -179,9 +185,9 @@
         {"requests_running", shared.ledger.size()},
         {"routes", shared.routes.dump()},
         {"classes", shared.measured.dump()},
-        {"quarantine", quarantined(here, sources)},
+        {"quarantine", quarantined(current_worker, callbacks)},
         {"crash_records", shared.crashes.size()},
-        {"sync", sources.sync()}};
+        {"sync", callbacks.sync()}};
     if (const auto own = shared.upstream.record())
     {
         object["upstream"] = json::object{
@@ -189,15 +195,17 @@
             {"state", static_cast<int>(own->state())},
             {"version", own->version()}};
     }
-    if (sources.control.state)
+    if (callbacks.control.state)
     {
-        object["control"] = sources.control.state();
+        object["control"] = callbacks.control.state();
     }
     return object;
 }
 
-operator_answer
-release(worker& here, const operator_sources& sources, const std::string& body)
+operator_answer release(
+    worker& current_worker,
+    const operator_callbacks& callbacks,
+    const std::string& body)
 {
     boost::system::error_code failed;
     const auto read = json::parse(body, failed);
@@ -211,9 +219,9 @@
     {
         return error_answer(422, "bad-digest");
     }
-    const bool known = sources.control.release
-                           ? sources.control.release(*digest)
-                           : here.shared.crashes.release(*digest);
+    const bool known = callbacks.control.release
+                           ? callbacks.control.release(*digest)
+                           : current_worker.shared.crashes.release(*digest);
     return known ? operator_answer{200, json::object{{"released", true}}}
                  : error_answer(404, "no-such-digest");
 }
@@ -225,78 +233,81 @@
 }
 
 asio::awaitable<operator_answer> answer_post(
-    worker& here,
-    const operator_sources& sources,
+    worker& current_worker,
+    const operator_callbacks& callbacks,
     std::string_view path,
     std::string body)
 {
     if (path == "/v1/changes")
     {
-        co_return co_await answer_change(here, std::move(body));
+        co_return co_await answer_change(current_worker, std::move(body));
     }
     if (path == "/v1/outcome")
     {
-        auto [status, value] = co_await settle_outcome(here, std::move(body));
+        auto [status, value] =
+            co_await settle_outcome(current_worker, std::move(body));
         co_return operator_answer{status, std::move(value)};
     }
     if (path == "/v1/quarantine/release")
     {
-        co_return release(here, sources, body);
+        co_return release(current_worker, callbacks, body);
     }
     if (path == "/v1/drain")
     {
-        sources.drain();
+        callbacks.drain();
         co_return operator_answer{202, json::object{{"stopping", true}}};
     }
     if (path == "/v1/control/replace")
     {
-        if (!sources.control.replace)
+        if (!callbacks.control.replace)
         {
             co_return error_answer(404, "not-a-control-host");
         }
         auto [status, value] =
-            co_await sources.control.replace(std::move(body));
+            co_await callbacks.control.replace(std::move(body));
         co_return operator_answer{status, std::move(value)};
     }
     co_return error_answer(404, "no-such-resource");
 }
 
 asio::awaitable<operator_answer> answer_get(
-    worker& here, const operator_sources& sources, std::string_view target)
+    worker& current_worker,
+    const operator_callbacks& callbacks,
+    std::string_view target)
 {
     const auto path = target.substr(0, target.find('?'));
     if (path == "/v1/configuration")
     {
-        const auto view = here.shared.configuration.current();
+        const auto view = current_worker.shared.configuration.current();
         co_return operator_answer{200, to_json(view->message())};
     }
     if (path == "/v1/upstreams")
     {
-        co_return operator_answer{200, here.shared.routes.dump()};
+        co_return operator_answer{200, current_worker.shared.routes.dump()};
     }
     if (path == "/v1/dump")
     {
-        co_return operator_answer{200, dump(here, sources)};
+        co_return operator_answer{200, dump(current_worker, callbacks)};
     }
     if (path == "/v1/quarantine")
     {
-        co_return operator_answer{200, quarantined(here, sources)};
+        co_return operator_answer{200, quarantined(current_worker, callbacks)};
     }
     if (path == "/v1/history")
     {
-        co_return answer_if(sources.control.history);
+        co_return answer_if(callbacks.control.history);
     }
     if (path == "/v1/rollout")
     {
-        co_return answer_if(sources.control.rollout);
+        co_return answer_if(callbacks.control.rollout);
     }
     if (path == "/v1/control")
     {
-        co_return answer_if(sources.control.state);
+        co_return answer_if(callbacks.control.state);
     }
     if (path == "/v1/outcome")
     {
-        auto [status, value] = co_await look_up_outcome(here, target);
+        auto [status, value] = co_await look_up_outcome(current_worker, target);
         co_return operator_answer{status, std::move(value)};
     }
     co_return error_answer(404, "no-such-resource");
@@ -307,28 +318,32 @@
     return head.method == "GET" && head.path == "/metrics";
 }
 
-asio::awaitable<void> answer_metrics(worker& here, caller_exchange& exchange)
+asio::awaitable<void>
+answer_metrics(worker& current_worker, caller_exchange& exchange)
 {
-    const auto text = here.shared.measured.exposition();
-    wire::response_head plain{
+    const auto text = current_worker.shared.measured.exposition();
+    wire::response_head text_head{
         200, {{"content-type", "text/plain; version=0.0.4"}}};
-    co_await exchange.answer(std::move(plain), text);
+    co_await exchange.answer(std::move(text_head), text);
 }
 
 } // namespace
 
-asio::awaitable<void> serve_metrics(worker& here, caller_exchange& exchange)
+asio::awaitable<void>
+serve_metrics(worker& current_worker, caller_exchange& exchange)
 {
     if (is_metrics_request(exchange.head()))
     {
-        co_await answer_metrics(here, exchange);
+        co_await answer_metrics(current_worker, exchange);
         co_return;
     }
     co_await exchange.answer({404, {}}, "");
 }
 
 asio::awaitable<void> serve_operator(
-    worker& here, const operator_sources& sources, caller_exchange& exchange)
+    worker& current_worker,
+    const operator_callbacks& callbacks,
+    caller_exchange& exchange)
 {
     const auto& head = exchange.head();
     auto body = co_await read_all(exchange);
@@ -338,23 +353,23 @@
     }
     if (is_metrics_request(head))
     {
-        co_await answer_metrics(here, exchange);
+        co_await answer_metrics(current_worker, exchange);
         co_return;
     }
     auto answer = error_answer(405, "method-not-allowed");
     if (head.method == "POST")
     {
-        answer =
-            co_await answer_post(here, sources, head.path, *std::move(body));
+        answer = co_await answer_post(
+            current_worker, callbacks, head.path, *std::move(body));
     }
     else if (head.method == "GET")
     {
-        answer = co_await answer_get(here, sources, head.path);
+        answer = co_await answer_get(current_worker, callbacks, head.path);
     }
     const auto text = json::serialize(answer.body) + "\n";
-    wire::response_head typed{
+    wire::response_head json_head{
         answer.status, {{"content-type", "application/json"}}};
-    co_await exchange.answer(std::move(typed), text);
+    co_await exchange.answer(std::move(json_head), text);
 }
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/operator_api.hpp
+++ b/nutmegusher/node/operator_api.hpp
@@ -18,7 +18,7 @@
 {
 
 // A control host's own answers; empty functions on a plain daemon.
-struct control_answers
+struct control_callbacks
 {
     // Judged by a majority; `change_unavailable` where that isn't known.
     std::function<asio::awaitable<messages::change_result>(messages::change)>
@@ -39,19 +39,22 @@
     std::function<bool(std::uint64_t digest)> release;
 };
 
-struct operator_sources
+struct operator_callbacks
 {
     std::function<boost::json::value()> sync;
     std::function<void()> drain;
-    control_answers control;
+    control_callbacks control;
 };
 
 // Serves one request of whoever collects metrics; all others get 404.
-asio::awaitable<void> serve_metrics(worker& here, caller_exchange& exchange);
+asio::awaitable<void>
+serve_metrics(worker& current_worker, caller_exchange& exchange);
 
-// Serves one request of an operator. Runs on the worker `here`.
+// Serves one request of an operator. Runs on the worker `current_worker`.
 asio::awaitable<void> serve_operator(
-    worker& here, const operator_sources& sources, caller_exchange& exchange);
+    worker& current_worker,
+    const operator_callbacks& callbacks,
+    caller_exchange& exchange);
 
 } // namespace nutmegusher::node
 
--- a/nutmegusher/node/path_test.cpp
+++ b/nutmegusher/node/path_test.cpp
@@ -94,7 +94,7 @@
     EXPECT_EQ(answer.field("x-path"), "/balances/all?x=1");
     EXPECT_EQ(answer.field("nutmeg-outcome"), "completed");
     EXPECT_EQ(answer.field("nutmeg-tries"), "1");
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.is_complete);
 }
 
 TEST_F(path, what_is_wrong_with_a_request_is_told)
@@ -131,7 +131,7 @@
     };
     serve_with(stream, "balances");
     const auto answer = request(entry.callers(), "GET", "/balances/all");
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.is_complete);
     EXPECT_EQ(answer.body.size(), 50 * piece.size());
 }
 
@@ -148,7 +148,7 @@
     serve_with(stream, "balances");
     const auto answer = request(entry.callers(), "GET", "/balances/all");
     EXPECT_EQ(answer.status, 200U);
-    EXPECT_FALSE(answer.whole);
+    EXPECT_FALSE(answer.is_complete);
 }
 
 TEST_F(path, a_cut_short_answer_is_an_honest_error)
@@ -163,7 +163,7 @@
     serve_with(cut, "balances");
     const auto answer = request(entry.callers(), "GET", "/balances/all");
     EXPECT_EQ(answer.status, 502U);
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.is_complete);
     EXPECT_NE(answer.field("nutmeg-outcome"), "completed");
 }
 
@@ -212,7 +212,7 @@
 
 TEST_F(path, without_a_claim_log_a_payout_is_not_run)
 {
-    claims.answers = false;
+    claims.is_available = false;
     std::atomic<int> runs = 0;
     const auto count =
         [&runs](caller_exchange& exchange) -> asio::awaitable<void>
@@ -380,7 +380,7 @@
                         static_cast<char>('a' + caller));
                     const auto answer = request(
                         entry.callers(), "POST", "/balances/all", {}, body);
-                    own = own && answer.whole && answer.body == body;
+                    own = own && answer.is_complete && answer.body == body;
                 }
                 return own;
             }));
--- a/nutmegusher/node/settings.cpp
+++ b/nutmegusher/node/settings.cpp
@@ -20,10 +20,10 @@
 {
 
 namespace pt = boost::property_tree;
-using internal::reader;
+using internal::settings_reader;
 using internal::trimmed;
 
-constexpr std::array known{
+constexpr std::array setting_table{
     known_setting{"host", "id", "", "name of this host, unique"},
     known_setting{"host", "data_center", "", "data centre it stands in"},
     known_setting{"host", "region", "", "region of the data centre"},
@@ -123,18 +123,18 @@
         "yes: naive decisions, as a baseline of measurements only"},
 };
 
-constexpr std::uint32_t most_threads = 64;
-constexpr std::uint32_t most_claim_groups = 64;
-constexpr std::uint32_t most_tolerated_losses = 7;
-constexpr std::uint32_t most_lines = 100000;
-constexpr std::uint32_t most_connections = 1000000;
-constexpr std::uint32_t least_header_bytes = 1024;
-constexpr std::uint32_t most_header_bytes = 1048576;
-constexpr std::uint32_t most_shutdown_ms = 3600000;
+constexpr std::uint32_t max_threads = 64;
+constexpr std::uint32_t max_claim_groups = 64;
+constexpr std::uint32_t max_tolerated_losses = 7;
+constexpr std::uint32_t max_lines_per_second = 100000;
+constexpr std::uint32_t max_connections = 1000000;
+constexpr std::uint32_t min_header_bytes = 1024;
+constexpr std::uint32_t max_header_bytes = 1048576;
+constexpr std::uint32_t max_shutdown_ms = 3600000;
 constexpr std::uint32_t default_killed_after_ms = 66000;
-constexpr std::uint32_t least_killed_after_ms = 1000;
-constexpr std::uint32_t most_port = 65535;
-constexpr std::uint32_t most_body_bytes = 16777216;
+constexpr std::uint32_t min_killed_after_ms = 1000;
+constexpr std::uint32_t max_port = 65535;
+constexpr std::uint32_t max_body_bytes = 16777216;
 
 std::string_view problem_text(settings_problem problem)
 {
@@ -168,7 +168,7 @@
     return "refused";
 }
 
-leaf::result<host_settings> read_host(const reader& in)
+leaf::result<host_settings> read_host(const settings_reader& in)
 {
     host_settings host;
     BOOST_LEAF_ASSIGN(host.id, in.required_name<host_id>("host", "id"));
@@ -179,11 +179,11 @@
         host.region, in.required_name<region_name>("host", "region"));
     BOOST_LEAF_ASSIGN(
         host.threads,
-        in.count("host", "threads", host.threads, 1, most_threads));
+        in.count("host", "threads", host.threads, 1, max_threads));
     return host;
 }
 
-leaf::result<listen_settings> read_listen(const reader& in)
+leaf::result<listen_settings> read_listen(const settings_reader& in)
 {
     listen_settings listen;
     BOOST_LEAF_ASSIGN(listen.callers, in.optional_address("listen", "callers"));
@@ -195,9 +195,9 @@
     return listen;
 }
 
-leaf::result<control_section> read_control(const reader& in)
+leaf::result<control_host_settings> read_control(const settings_reader& in)
 {
-    control_section control;
+    control_host_settings control;
     BOOST_LEAF_AUTO(folder, in.required("control", "data_folder"));
     control.data_folder = folder;
     BOOST_LEAF_ASSIGN(
@@ -205,7 +205,7 @@
         in.choice("control", "bootstrap", "yes", "no", false));
     BOOST_LEAF_ASSIGN(
         control.tolerated_losses,
-        in.count("control", "tolerated_losses", 0, 0, most_tolerated_losses));
+        in.count("control", "tolerated_losses", 0, 0, max_tolerated_losses));
     // Hosts that find their cluster by themselves need no names of founders.
     if (control.tolerated_losses == 0 || in.text("control", "initial"))
     {
@@ -219,27 +219,27 @@
             "claim_groups",
             control.claim_groups,
             0,
-            most_claim_groups));
+            max_claim_groups));
     BOOST_LEAF_ASSIGN(
         control.voter, in.choice("control", "role", "voter", "relay", true));
     return control;
 }
 
-leaf::result<limit_settings> read_limits(const reader& in)
+leaf::result<limit_settings> read_limits(const settings_reader& in)
 {
     limit_settings limits;
     BOOST_LEAF_ASSIGN(
         limits.connections,
         in.count(
-            "limits", "connections", limits.connections, 1, most_connections));
+            "limits", "connections", limits.connections, 1, max_connections));
     BOOST_LEAF_ASSIGN(
         limits.header_bytes,
         in.count(
             "limits",
             "header_bytes",
             limits.header_bytes,
-            least_header_bytes,
-            most_header_bytes));
+            min_header_bytes,
+            max_header_bytes));
     BOOST_LEAF_ASSIGN(
         limits.buffered_body_bytes,
         in.count(
@@ -247,7 +247,7 @@
             "buffered_body_bytes",
             limits.buffered_body_bytes,
             0,
-            most_body_bytes));
+            max_body_bytes));
     BOOST_LEAF_ASSIGN(
         limits.claimed_body_bytes,
         in.count(
@@ -255,30 +255,30 @@
             "claimed_body_bytes",
             limits.claimed_body_bytes,
             0,
-            most_body_bytes));
+            max_body_bytes));
     return limits;
 }
 
-leaf::result<shutdown_settings> read_shutdown(const reader& in)
+leaf::result<shutdown_settings> read_shutdown(const settings_reader& in)
 {
     shutdown_settings shutdown;
     BOOST_LEAF_AUTO(
-        accept, in.count("shutdown", "accept_ms", 0, 0, most_shutdown_ms));
+        accept, in.count("shutdown", "accept_ms", 0, 0, max_shutdown_ms));
     BOOST_LEAF_AUTO(
         killed_after,
         in.count(
             "shutdown",
             "killed_after_ms",
             default_killed_after_ms,
-            least_killed_after_ms,
-            most_shutdown_ms));
+            min_killed_after_ms,
+            max_shutdown_ms));
     shutdown.accept_for = std::chrono::milliseconds(accept);
     // The rest is for closing what is left.
     shutdown.limit = std::chrono::milliseconds(killed_after) * 10 / 11;
     return shutdown;
 }
 
-leaf::result<settings> read_all(const reader& in)
+leaf::result<settings> read_all(const settings_reader& in)
 {
     settings all;
     BOOST_LEAF_CHECK(in.check_keys());
@@ -287,7 +287,7 @@
     BOOST_LEAF_ASSIGN(
         all.control_hosts, in.addresses("control_hosts", "addresses"));
     BOOST_LEAF_AUTO(
-        peer_port, in.count("control_hosts", "peer_port", 0, 1, most_port));
+        peer_port, in.count("control_hosts", "peer_port", 0, 1, max_port));
     if (peer_port != 0)
     {
         for (auto& address : all.control_hosts)
@@ -308,7 +308,7 @@
             "lines_per_second",
             all.log.lines_per_second,
             1,
-            most_lines));
+            max_lines_per_second));
     BOOST_LEAF_ASSIGN(all.limits, read_limits(in));
     BOOST_LEAF_ASSIGN(all.shutdown, read_shutdown(in));
     BOOST_LEAF_AUTO(
@@ -405,7 +405,7 @@
 
 std::span<const known_setting> known_settings()
 {
-    return known;
+    return setting_table;
 }
 
 leaf::result<settings>
@@ -427,7 +427,7 @@
             "",
             problem_of(error)});
     }
-    return read_all(reader(file_name, text, tree));
+    return read_all(settings_reader(file_name, text, tree));
 }
 
 leaf::result<settings> read_settings(const std::filesystem::path& file)
--- a/nutmegusher/node/settings.hpp
+++ b/nutmegusher/node/settings.hpp
@@ -83,7 +83,7 @@
 };
 
 // The part of a control host.
-struct control_section
+struct control_host_settings
 {
     std::filesystem::path data_folder;
     std::vector<named_address> initial;
@@ -145,7 +145,7 @@
     host_settings host;
     listen_settings listen;
     std::vector<endpoint> control_hosts;
-    std::optional<control_section> control;
+    std::optional<control_host_settings> control;
     log_settings log;
     limit_settings limits;
     upstream_settings upstream;
--- a/nutmegusher/node/settings_reader.hpp
+++ b/nutmegusher/node/settings_reader.hpp
@@ -21,7 +21,7 @@
 
 namespace pt = boost::property_tree;
 
-inline constexpr std::size_t longest_name = 64;
+inline constexpr std::size_t max_name_length = 64;
 
 inline std::string trimmed(std::string_view text)
 {
@@ -100,15 +100,16 @@
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
                (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.';
     };
-    return !text.empty() && text.size() <= longest_name &&
+    return !text.empty() && text.size() <= max_name_length &&
            std::all_of(text.begin(), text.end(), allowed);
 }
 
 // Reads typed values and fails with the place of each.
-class reader
+class settings_reader
 {
 public:
-    reader(std::string_view file, std::string_view text, const pt::ptree& tree)
+    settings_reader(
+        std::string_view file, std::string_view text, const pt::ptree& tree)
         : file_(file)
         , lines_(text)
         , tree_(tree)
@@ -207,8 +208,8 @@
         const std::string& section,
         const std::string& key,
         std::uint32_t default_value,
-        std::uint32_t least,
-        std::uint32_t most) const
+        std::uint32_t min_value,
+        std::uint32_t max_value) const
     {
         const auto value = text(section, key);
         if (!value)
@@ -226,19 +227,19 @@
         {
             return fail(section, key, *value, settings_problem::bad_number);
         }
-        if (parsed < least || parsed > most)
+        if (parsed < min_value || parsed > max_value)
         {
             return fail(section, key, *value, settings_problem::out_of_range);
         }
         return parsed;
     }
 
-    // True for `yes`, false for `no`.
+    // True for `true_text`, false for `false_text`.
     [[nodiscard]] leaf::result<bool> choice(
         const std::string& section,
         const std::string& key,
-        std::string_view yes,
-        std::string_view no,
+        std::string_view true_text,
+        std::string_view false_text,
         bool default_value) const
     {
         const auto value = text(section, key);
@@ -246,11 +247,11 @@
         {
             return default_value;
         }
-        if (*value != yes && *value != no)
+        if (*value != true_text && *value != false_text)
         {
             return fail(section, key, *value, settings_problem::bad_choice);
         }
-        return *value == yes;
+        return *value == true_text;
     }
 
     [[nodiscard]] leaf::result<std::vector<endpoint>>
--- a/nutmegusher/node/settings_test.cpp
+++ b/nutmegusher/node/settings_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::string_view good = R"([host]
+constexpr std::string_view valid_settings = R"([host]
 id = a1
 data_center = karachi-1
 region = pakistan
@@ -50,14 +50,14 @@
 
 std::string replaced(std::string_view from, std::string_view to)
 {
-    std::string text(good);
+    std::string text(valid_settings);
     text.replace(text.find(from), from.size(), to);
     return text;
 }
 
 TEST(settings, reads_all_sections)
 {
-    const auto read = parse_settings("n.ini", good);
+    const auto read = parse_settings("n.ini", valid_settings);
     ASSERT_TRUE(read);
     EXPECT_EQ(read->host.id, host_id("a1"));
     EXPECT_EQ(read->listen.callers->port(), 8080);
@@ -108,7 +108,8 @@
 {
     const auto with = [](std::string_view line)
     {
-        return std::string(good) + "[limits]\n" + std::string(line) + "\n";
+        return std::string(valid_settings) + "[limits]\n" + std::string(line) +
+               "\n";
     };
     EXPECT_EQ(
         error_of(with("connections = many")).problem,
@@ -125,7 +126,7 @@
 {
     const auto read = parse_settings(
         "n.ini",
-        std::string(good) +
+        std::string(valid_settings) +
             "[control]\ndata_folder = /var/lib/nutmegusher\n"
             "initial = c1=127.0.0.1:7002, c2=127.0.0.2:7002\nrole = relay\n");
     ASSERT_TRUE(read);
--- a/nutmegusher/node/stop_sequence.cpp
+++ b/nutmegusher/node/stop_sequence.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr duration look_interval = std::chrono::milliseconds(20);
+constexpr duration check_interval = std::chrono::milliseconds(20);
 
 stop_step next(stop_step step)
 {
@@ -66,11 +66,11 @@
 
 stop_sequence::stop_sequence(stop_times times, time_point now)
     : times_(times)
-    , begun_(now)
+    , started_at_(now)
 {
 }
 
-void stop_sequence::advance(time_point now, const stop_census& open)
+void stop_sequence::advance(time_point now, const open_counts& open)
 {
     if (step_ == stop_step::ended)
     {
@@ -81,7 +81,7 @@
         step_ = next(step_);
         return;
     }
-    const bool is_late = now - begun_ >= times_.give_up_after;
+    const bool is_late = now - started_at_ >= times_.give_up_after;
     if (is_late && step_ != stop_step::giving_up)
     {
         step_ = stop_step::giving_up;
@@ -89,41 +89,42 @@
     }
 }
 
-time_point stop_sequence::next_look(time_point now) const
+time_point stop_sequence::next_check(time_point now) const
 {
-    const auto last_look = std::max(now, begun_ + times_.give_up_after);
+    const auto latest_check = std::max(now, started_at_ + times_.give_up_after);
     switch (step_)
     {
     case stop_step::announced:
-        return std::clamp(begun_ + times_.leave_after, now, last_look);
+        return std::clamp(started_at_ + times_.leave_after, now, latest_check);
     case stop_step::leaving:
-        return std::clamp(begun_ + times_.close_callers_after, now, last_look);
+        return std::clamp(
+            started_at_ + times_.close_callers_after, now, latest_check);
     default:
-        return now + look_interval;
+        return now + check_interval;
     }
 }
 
-bool stop_sequence::is_done(time_point now, const stop_census& open)
+bool stop_sequence::is_done(time_point now, const open_counts& open)
 {
     switch (step_)
     {
     case stop_step::announced:
-        return now - begun_ >= times_.leave_after;
+        return now - started_at_ >= times_.leave_after;
     case stop_step::leaving:
-        return now - begun_ >= times_.close_callers_after;
+        return now - started_at_ >= times_.close_callers_after;
     case stop_step::finishing_calls:
         return open.peer_calls + open.upstream_calls == 0 ||
-               now - begun_ >= times_.close_callers_by;
+               now - started_at_ >= times_.close_callers_deadline;
     case stop_step::closing_callers:
         return open.callers == 0;
     case stop_step::closing_peers:
-        return have_peers_had_time(now, open);
+        return are_peers_done(now, open);
     case stop_step::ending_sessions:
         return open.peer_sessions == 0 && open.peer_calls == 0;
     case stop_step::closing_upstream:
         return open.upstream == 0;
     case stop_step::giving_up:
-        return open.is_empty() || now - begun_ >= times_.end_after;
+        return open.is_empty() || now - started_at_ >= times_.end_after;
     case stop_step::ended:
         break;
     }
@@ -131,7 +132,7 @@
 }
 
 // Idle sessions wait for their peers, which may be silent.
-bool stop_sequence::have_peers_had_time(time_point now, const stop_census& open)
+bool stop_sequence::are_peers_done(time_point now, const open_counts& open)
 {
     if (open.peer_calls > 0)
     {
@@ -140,7 +141,7 @@
     }
     no_calls_since_ = std::min(no_calls_since_, now);
     return open.peer_sessions == 0 ||
-           now - no_calls_since_ >= times_.session_end;
+           now - no_calls_since_ >= times_.session_close_timeout;
 }
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/stop_sequence.hpp
+++ b/nutmegusher/node/stop_sequence.hpp
@@ -57,16 +57,16 @@
     duration leave_after{0};
     duration close_callers_after{0};
     // Ends `finishing_calls`.
-    duration close_callers_by{0};
+    duration close_callers_deadline{0};
     duration give_up_after{0};
     duration end_after{0};
     // How long an idle session may take to confirm its end before
     // `ending_sessions`.
-    duration session_end{0};
+    duration session_close_timeout{0};
 };
 
 // What is open or owed, over all threads.
-struct stop_census
+struct open_counts
 {
     // Connections of callers, operators and collectors of metrics.
     std::size_t callers = 0;
@@ -98,10 +98,10 @@
     // Leaves the step where it is done, for the next one only.
     // Requires: the step's sources were closed before `now`, and `open` was
     // counted after that.
-    void advance(time_point now, const stop_census& open);
+    void advance(time_point now, const open_counts& open);
 
     // When to count again.
-    [[nodiscard]] time_point next_look(time_point now) const;
+    [[nodiscard]] time_point next_check(time_point now) const;
 
     // Something that was owed is given up at the limit.
     [[nodiscard]] bool has_given_up() const
@@ -112,12 +112,11 @@
 private:
     stop_sequence(stop_times times, time_point now);
 
-    [[nodiscard]] bool is_done(time_point now, const stop_census& open);
-    [[nodiscard]] bool
-    have_peers_had_time(time_point now, const stop_census& open);
+    [[nodiscard]] bool is_done(time_point now, const open_counts& open);
+    [[nodiscard]] bool are_peers_done(time_point now, const open_counts& open);
 
     stop_times times_;
-    time_point begun_;
+    time_point started_at_;
     stop_step step_ = stop_step::announced;
     bool has_given_up_ = false;
     // Since when no call of other daemons is in work, in `closing_peers`.
--- a/nutmegusher/node/stop_sequence_test.cpp
+++ b/nutmegusher/node/stop_sequence_test.cpp
@@ -21,40 +21,40 @@
     stop_times times;
     times.leave_after = milliseconds(300);
     times.close_callers_after = milliseconds(500);
-    times.close_callers_by = milliseconds(550);
+    times.close_callers_deadline = milliseconds(550);
     times.give_up_after = milliseconds(1800);
     times.end_after = milliseconds(2000);
-    times.session_end = milliseconds(120);
+    times.session_close_timeout = milliseconds(120);
     return times;
 }
 
 // One kind of connections: each is idle or owes an answer.
-struct modelled_source
+struct simulated_source
 {
     std::size_t idle = 0;
     // When each request in work has its answer.
-    std::vector<time_point> in_work;
+    std::vector<time_point> answer_times;
     bool is_closed = false;
     // Requests that were read, and those that have their answers.
-    std::size_t read = 0;
+    std::size_t received = 0;
     std::size_t answered = 0;
 
     [[nodiscard]] std::size_t open() const
     {
-        return idle + in_work.size();
+        return idle + answer_times.size();
     }
 
     // A request on a kept connection, or on a new one. Not read where the
     // source is closed: there is no idle connection, and none is accepted.
-    void bring(time_point answer_at)
+    void add_request(time_point answer_at)
     {
         if (is_closed)
         {
             return;
         }
         idle -= idle > 0 ? 1 : 0;
-        in_work.push_back(answer_at);
-        ++read;
+        answer_times.push_back(answer_at);
+        ++received;
     }
 
     void close()
@@ -65,7 +65,7 @@
 
     void give_up(time_point answer_at)
     {
-        for (auto& each : in_work)
+        for (auto& each : answer_times)
         {
             each = std::min(each, answer_at);
         }
@@ -75,7 +75,7 @@
     std::size_t run(time_point now)
     {
         const auto ended = std::erase_if(
-            in_work,
+            answer_times,
             [now](time_point at)
             {
                 return at <= now;
@@ -88,12 +88,12 @@
 
 // A process with callers, other daemons and an upstream that all keep
 // bringing requests until they can't.
-class modelled_process
+class simulated_process
 {
 public:
-    modelled_process(std::uint64_t seed, duration longest_work)
+    simulated_process(std::uint64_t seed, duration max_work_time)
         : random_(seed)
-        , longest_work_(longest_work)
+        , max_work_time_(max_work_time)
         , stop_(stop_sequence::begin(times_of_two_seconds(), begin_time))
     {
         callers_.idle = uniform_below(random_, 200);
@@ -104,13 +104,13 @@
 
     void run_to_the_end()
     {
-        auto next_look = now_;
+        auto next_check = now_;
         stop_step entered = stop_step::ended;
         while (stop_.step() != stop_step::ended)
         {
-            bring_work();
-            run_work();
-            if (now_ >= next_look)
+            add_requests();
+            complete_due_requests();
+            if (now_ >= next_check)
             {
                 if (entered != stop_.step())
                 {
@@ -119,11 +119,11 @@
                     entered = stop_.step();
                     enter(entered);
                     // What comes between the closing and the count.
-                    bring_work();
+                    add_requests();
                 }
-                stop_.advance(now_, census());
-                next_look =
-                    entered == stop_.step() ? stop_.next_look(now_) : now_;
+                stop_.advance(now_, count_open());
+                next_check =
+                    entered == stop_.step() ? stop_.next_check(now_) : now_;
             }
             now_ += step_time;
             ASSERT_LE(now_ - begin_time, milliseconds(2100));
@@ -134,7 +134,7 @@
     {
         for (const auto* each : {&callers_, &peers_, &upstream_})
         {
-            EXPECT_EQ(each->read, each->answered);
+            EXPECT_EQ(each->received, each->answered);
         }
     }
 
@@ -148,27 +148,28 @@
     {
         const double part = std::pow(uniform_unit(random_), 4.0);
         return now_ + step_time +
-               std::chrono::duration_cast<duration>(longest_work_ * part);
+               std::chrono::duration_cast<duration>(max_work_time_ * part);
     }
 
-    void bring_work()
+    void add_requests()
     {
         for (auto* each : {&callers_, &peers_})
         {
             if (uniform_unit(random_) < rate_)
             {
-                each->bring(answer_time());
+                each->add_request(answer_time());
             }
         }
         // Sub-calls come while the upstream works for somebody.
-        const bool works = !callers_.in_work.empty() || !peers_.in_work.empty();
-        if (works && uniform_unit(random_) < rate_)
+        const bool is_working =
+            !callers_.answer_times.empty() || !peers_.answer_times.empty();
+        if (is_working && uniform_unit(random_) < rate_)
         {
-            upstream_.bring(answer_time());
+            upstream_.add_request(answer_time());
         }
     }
 
-    void run_work()
+    void complete_due_requests()
     {
         for (auto* each : {&callers_, &peers_, &upstream_})
         {
@@ -199,31 +200,31 @@
         }
     }
 
-    [[nodiscard]] stop_census census() const
+    [[nodiscard]] open_counts count_open() const
     {
         return {
             .callers = callers_.open(),
-            .peer_calls = peers_.in_work.size(),
+            .peer_calls = peers_.answer_times.size(),
             .peer_sessions = peers_.open(),
             .upstream = upstream_.open()};
     }
 
     random_engine random_;
-    duration longest_work_;
+    duration max_work_time_;
     stop_sequence stop_;
     time_point now_ = begin_time;
-    modelled_source callers_;
-    modelled_source peers_;
-    modelled_source upstream_;
+    simulated_source callers_;
+    simulated_source peers_;
+    simulated_source upstream_;
     double rate_ = 0.0;
 };
 
-TEST(stop_sequence, leaves_nothing_unanswered_whatever_comes_when)
+TEST(stop_sequence, answers_every_request_it_read)
 {
     for (std::uint64_t seed = 0; seed < 500; ++seed)
     {
         SCOPED_TRACE(seed);
-        modelled_process process(seed, milliseconds(400));
+        simulated_process process(seed, milliseconds(400));
         process.run_to_the_end();
         process.expect_everything_answered();
     }
@@ -235,7 +236,7 @@
     for (std::uint64_t seed = 0; seed < 500; ++seed)
     {
         SCOPED_TRACE(seed);
-        modelled_process process(seed, milliseconds(5000));
+        simulated_process process(seed, milliseconds(5000));
         process.run_to_the_end();
         process.expect_everything_answered();
         given_up += process.stop().has_given_up() ? 1 : 0;
@@ -279,7 +280,7 @@
 TEST(stop_sequence, keeps_callers_open_while_calls_may_bring_sub_calls)
 {
     auto stop = at_step(stop_step::finishing_calls);
-    const stop_census working{.callers = 3, .peer_calls = 1};
+    const open_counts working{.callers = 3, .peer_calls = 1};
     stop.advance(begin_time + milliseconds(540), working);
     EXPECT_EQ(stop.step(), stop_step::finishing_calls);
     auto done = stop;
@@ -292,11 +293,11 @@
     EXPECT_EQ(stop.step(), stop_step::closing_callers);
 }
 
-TEST(stop_sequence, a_silent_peer_is_waited_for_no_longer_than_it_may_take)
+TEST(stop_sequence, waits_for_a_silent_peer_only_until_the_timeout)
 {
     auto stop = at_step(stop_step::closing_peers);
     auto now = begin_time + milliseconds(700);
-    const stop_census silent{.peer_sessions = 1};
+    const open_counts silent{.peer_sessions = 1};
     stop.advance(now, silent);
     now += milliseconds(110);
     stop.advance(now, {.peer_calls = 1, .peer_sessions = 1});
--- a/nutmegusher/node/test_deployment.cpp
+++ b/nutmegusher/node/test_deployment.cpp
@@ -20,18 +20,18 @@
 
 settings make_settings(const std::string& host)
 {
-    settings made;
-    made.host.id = host_id(host);
-    made.host.data_center = data_center_name("dc");
-    made.host.region = region_name("region");
-    made.host.threads = 1;
-    made.control_hosts.push_back(any_port);
-    return made;
+    settings result;
+    result.host.id = host_id(host);
+    result.host.data_center = data_center_name("dc");
+    result.host.region = region_name("region");
+    result.host.threads = 1;
+    result.control_hosts.push_back(any_port);
+    return result;
 }
 
 // The value, or an exception that ends the test.
 template <class T>
-T must(leaf::result<T> result)
+T value_or_throw(leaf::result<T> result)
 {
     if (!result)
     {
@@ -41,10 +41,10 @@
 }
 
 asio::awaitable<client_answer>
-exchange(upstream_pool& pool, endpoint at, upstream_request wanted)
+exchange(upstream_pool& pool, endpoint at, upstream_request outgoing)
 {
     client_answer answer;
-    auto sent = co_await pool.send(at, wanted);
+    auto sent = co_await pool.send(at, outgoing);
     if (!sent)
     {
         co_return answer;
@@ -57,16 +57,17 @@
     }
     answer.status = head->status;
     answer.fields = head->fields;
-    std::array<std::byte, 16384> piece;
+    std::array<std::byte, 16384> chunk;
     while (true)
     {
-        const auto got = co_await call.read_some(piece);
-        if (!got || *got == 0)
+        const auto read_size = co_await call.read_some(chunk);
+        if (!read_size || *read_size == 0)
         {
-            answer.whole = got.has_value();
+            answer.is_complete = read_size.has_value();
             co_return answer;
         }
-        answer.body.append(reinterpret_cast<const char*>(piece.data()), *got);
+        answer.body.append(
+            reinterpret_cast<const char*>(chunk.data()), *read_size);
     }
 }
 
@@ -74,30 +75,31 @@
 
 test_node::test_node(const std::string& host)
     : shared(make_settings(host), incarnation(1))
-    , here(shared, 0)
+    , node_worker(shared, 0)
 {
-    callers_ = must(http_server::listen(
-        here.context,
+    callers_ = value_or_throw(http_server::listen(
+        node_worker.context,
         any_port,
         [this](caller_exchange& exchange)
         {
-            return serve_request(here, exchange, request_origin::caller);
+            return serve_request(node_worker, exchange, request_origin::caller);
         },
         {}));
-    upstream_side_ = must(http_server::listen(
-        here.context,
+    upstream_side_ = value_or_throw(http_server::listen(
+        node_worker.context,
         any_port,
         [this](caller_exchange& exchange)
         {
-            return serve_request(here, exchange, request_origin::own_upstream);
+            return serve_request(
+                node_worker, exchange, request_origin::own_upstream);
         },
         {}));
-    peers_ = must(wire::server::listen(
-        here.context,
+    peers_ = value_or_throw(wire::server::listen(
+        node_worker.context,
         any_port,
         [this](std::shared_ptr<wire::server_stream> stream)
         {
-            return serve_peer_call(here, std::move(stream));
+            return serve_peer_call(node_worker, std::move(stream));
         },
         wire::session_options(),
         false));
@@ -105,7 +107,7 @@
 
 test_node::~test_node()
 {
-    here.context.stop();
+    node_worker.context.stop();
     if (thread_.joinable())
     {
         thread_.join();
@@ -117,7 +119,7 @@
     thread_ = std::thread(
         [this]
         {
-            here.context.run();
+            node_worker.context.run();
         });
 }
 
@@ -136,19 +138,19 @@
     return upstream_side_->local_endpoint();
 }
 
-void test_node::cut_peers()
+void test_node::close_peer_connections()
 {
     const auto cut = [this]() -> asio::awaitable<void>
     {
         peers_.reset();
         co_return;
     };
-    asio::co_spawn(here.context, cut(), asio::use_future).get();
+    asio::co_spawn(node_worker.context, cut(), asio::use_future).get();
 }
 
 fake_upstream::fake_upstream(http_handler handler)
-    : server_(
-          must(http_server::listen(context_, any_port, std::move(handler), {})))
+    : server_(value_or_throw(
+          http_server::listen(context_, any_port, std::move(handler), {})))
 {
     thread_ = std::thread(
         [this]
@@ -169,7 +171,7 @@
 }
 
 fake_claim_log::fake_claim_log()
-    : server_(must(wire::server::listen(
+    : server_(value_or_throw(wire::server::listen(
           context_,
           any_port,
           [this](std::shared_ptr<wire::server_stream> stream)
@@ -201,18 +203,18 @@
 fake_claim_log::serve(std::shared_ptr<wire::server_stream> stream)
 {
     std::string text;
-    std::array<std::byte, 16384> piece;
+    std::array<std::byte, 16384> chunk;
     while (true)
     {
-        const auto got = co_await stream->read_some(piece);
-        if (!got || *got == 0)
+        const auto read_size = co_await stream->read_some(chunk);
+        if (!read_size || *read_size == 0)
         {
             break;
         }
-        text.append(reinterpret_cast<const char*>(piece.data()), *got);
+        text.append(reinterpret_cast<const char*>(chunk.data()), *read_size);
     }
     messages::claim_command command;
-    if (!answers || !command.ParseFromString(text))
+    if (!is_available || !command.ParseFromString(text))
     {
         wire::response_head refused{503, {}};
         co_await stream->write_head(std::move(refused), true);
@@ -262,14 +264,14 @@
 messages::work_class
 make_class(const std::string& name, const std::string& service, bool repeatable)
 {
-    messages::work_class made;
-    made.set_name(name);
-    made.set_service(service);
-    made.set_path_prefix("/");
-    made.set_repeatable(repeatable);
-    made.mutable_target()->set_latency_ms(5000);
-    made.mutable_target()->set_completion_ppm(999000);
-    return made;
+    messages::work_class result;
+    result.set_name(name);
+    result.set_service(service);
+    result.set_path_prefix("/");
+    result.set_repeatable(repeatable);
+    result.mutable_target()->set_latency_ms(5000);
+    result.mutable_target()->set_completion_ppm(999000);
+    return result;
 }
 
 client_answer request(
@@ -281,12 +283,12 @@
 {
     asio::io_context context;
     upstream_pool pool(context);
-    upstream_request wanted;
-    wanted.head = {method, path, fields};
-    wanted.body = body;
-    wanted.time_left = request_limit;
+    upstream_request outgoing;
+    outgoing.head = {method, path, fields};
+    outgoing.body = body;
+    outgoing.time_left = request_limit;
     auto done = asio::co_spawn(
-        context, exchange(pool, at, std::move(wanted)), asio::use_future);
+        context, exchange(pool, at, std::move(outgoing)), asio::use_future);
     context.run();
     return done.get();
 }
--- a/nutmegusher/node/test_deployment.hpp
+++ b/nutmegusher/node/test_deployment.hpp
@@ -25,7 +25,7 @@
     wire::headers fields;
     std::string body;
     // False: the connection ended before the answer's clean end.
-    bool whole = false;
+    bool is_complete = false;
 
     [[nodiscard]] std::string field(std::string_view name) const
     {
@@ -50,10 +50,10 @@
     [[nodiscard]] endpoint upstream_side() const;
 
     // Cuts all connections from daemons.
-    void cut_peers();
+    void close_peer_connections();
 
     controllers shared;
-    worker here;
+    worker node_worker;
 
 private:
     std::unique_ptr<http_server> callers_;
@@ -90,7 +90,7 @@
 
     [[nodiscard]] endpoint address() const;
 
-    std::atomic<bool> answers = true;
+    std::atomic<bool> is_available = true;
 
 private:
     asio::awaitable<void> serve(std::shared_ptr<wire::server_stream> stream);
--- a/nutmegusher/routed/extension.cpp
+++ b/nutmegusher/routed/extension.cpp
@@ -78,7 +78,7 @@
         state_->slots.set_leaving(true);
     }
 
-    [[nodiscard]] std::size_t calls_in_work() const override
+    [[nodiscard]] std::size_t calls_in_flight() const override
     {
         return state_->slots.state().running;
     }
