--- a/nutmegusher/node/control_service.cpp
+++ b/nutmegusher/node/control_service.cpp
@@ -379,9 +379,9 @@
     }
 }
 
-control_answers control_service::answers()
+control_callbacks control_service::answers()
 {
-    control_answers made;
+    control_callbacks made;
     made.propose = [this](messages::change change)
     {
         return state_->logs->propose_change(std::move(change));
--- a/nutmegusher/node/path_test.cpp
+++ b/nutmegusher/node/path_test.cpp
@@ -95,7 +95,7 @@
     EXPECT_EQ(answer.field("x-path"), "/balances/all?x=1");
     EXPECT_EQ(answer.field("nutmeg-outcome"), "completed");
     EXPECT_EQ(answer.field("nutmeg-tries"), "1");
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.is_complete);
 }
 
 TEST_F(path, malformed_requests_are_refused_with_a_reason)
@@ -132,7 +132,7 @@
     };
     serve_with(stream, "balances");
     const auto answer = request(entry_node.callers(), "GET", "/balances/all");
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.is_complete);
     EXPECT_EQ(answer.body.size(), 50 * chunk.size());
 }
 
@@ -149,7 +149,7 @@
     serve_with(stream, "balances");
     const auto answer = request(entry_node.callers(), "GET", "/balances/all");
     EXPECT_EQ(answer.status, 200U);
-    EXPECT_FALSE(answer.whole);
+    EXPECT_FALSE(answer.is_complete);
 }
 
 TEST_F(path, a_cut_short_answer_becomes_an_error)
@@ -164,7 +164,7 @@
     serve_with(cut, "balances");
     const auto answer = request(entry_node.callers(), "GET", "/balances/all");
     EXPECT_EQ(answer.status, 502U);
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.is_complete);
     EXPECT_NE(answer.field("nutmeg-outcome"), "completed");
 }
 
@@ -213,7 +213,7 @@
 
 TEST_F(path, without_a_claim_log_a_payout_is_not_run)
 {
-    claims.answers = false;
+    claims.is_available = false;
     std::atomic<int> runs = 0;
     const auto count =
         [&runs](caller_exchange& exchange) -> asio::awaitable<void>
@@ -387,7 +387,7 @@
                         "/balances/all",
                         {},
                         body);
-                    own = own && answer.whole && answer.body == body;
+                    own = own && answer.is_complete && answer.body == body;
                 }
                 return own;
             }));
