--- a/nutmegusher/control/control.hpp
+++ b/nutmegusher/control/control.hpp
@@ -1,15 +1,14 @@
-// The replicated log of the control hosts, and the configuration that it
-// keeps.
+// The replicated log of the control hosts, and the configuration stored in it.
 //
-// - `replica`: the agreement among hosts, as a pure state machine.
-// - `disk`, `file_disk`, `group_storage`: what it keeps on disk.
-// - `state_machine`, `replicated_group`: one group with its machine.
-// - `membership_plan.hpp`: the steps that replace a host.
-// - `configuration_store`: the machine of group 0.
-// - `load_identity`: who a data folder is.
+// - `replica`: Raft consensus as a pure state machine.
+// - `disk`, `file_disk`, `group_storage`: durable storage of log and snapshots.
+// - `state_machine`, `replicated_group`: one Raft group with its state machine.
+// - `membership_plan.hpp`: the membership changes that replace a host.
+// - `configuration_store`: the state machine of group 0.
+// - `load_identity`: the identity of a data folder.
 //
-// No network, threads or clock reads; only `file_disk` does input and output.
-// The daemon's `control_host` joins groups to connections.
+// Contains no network code, threads or clock reads; only `file_disk` does input
+// and output. The daemon's `control_host` connects groups to the network.
 #ifndef NUTMEGUSHER_CONTROL_CONTROL_HPP
 #define NUTMEGUSHER_CONTROL_CONTROL_HPP
 
--- a/nutmegusher/control/freshness_tracker.cpp
+++ b/nutmegusher/control/freshness_tracker.cpp
@@ -22,7 +22,7 @@
         waiting_.back().as_of = as_of;
         return;
     }
-    // The earlier ones are reached first.
+    // When full, drops the new proof: the earlier ones are reached first.
     if (waiting_.size() < max_waiting)
     {
         waiting_.push_back({commit, as_of});
--- a/nutmegusher/control/freshness_tracker.hpp
+++ b/nutmegusher/control/freshness_tracker.hpp
@@ -1,4 +1,4 @@
-// Up to which moment a replica is proved to know all that was committed.
+// Tracks up to which time a replica is proved to know all committed entries.
 #ifndef NUTMEGUSHER_CONTROL_FRESHNESS_TRACKER_HPP
 #define NUTMEGUSHER_CONTROL_FRESHNESS_TRACKER_HPP
 
@@ -11,29 +11,31 @@
 namespace nutmegusher
 {
 
-// A leader that a majority has answered at a moment knows all that was
-// committed before it. It tells each follower how long ago that was, the
-// commit, and the time that the follower wrote on the last reply that the
-// leader had: its message was made after that reply, so the follower can place
-// it by its own clock alone, however long it was under way. A follower knows as
-// much once it has applied that commit.
+// A leader whose heartbeat round a majority has acknowledged knows all entries
+// that were committed before it sent that round. With each append it sends
+// every follower its commit index, the age of this proof, and the time stamp
+// from the last reply that it received from the follower. The append was made
+// after that reply, so the follower can place the proof on its own clock alone,
+// however long the message was in flight. The proof holds for the follower once
+// it has applied that commit index.
 //
 //     freshness_tracker known;
-//     known.add_proof(commit, heard_reply_at - proof_age);
+//     known.add_proof(commit, last_reply_at - proof_age);
 //     known.applied(index);
 //     now - known.as_of()                         // its age at most
 //
-// Neither a connection, nor a leader's name, nor a heartbeat from a leader that
-// has lost its majority moves it.
+// An open connection, a known leader, or a heartbeat from a leader that has
+// lost its majority doesn't advance `as_of`.
 class freshness_tracker
 {
 public:
-    // All that was committed before `as_of` is at or below `commit`.
+    // Records that every entry committed before `as_of` is at or below
+    // `commit`.
     void add_proof(log_index commit, time_point as_of);
 
     void applied(log_index index);
 
-    // The clock's start where nothing was proved yet.
+    // The clock's start if nothing was proved yet.
     [[nodiscard]] time_point as_of() const
     {
         return as_of_;
@@ -46,10 +48,11 @@
         time_point as_of;
     };
 
-    // Proofs of what isn't applied yet; a few seconds of heartbeats.
+    // Limit on proofs whose commit isn't applied yet: a few seconds of
+    // heartbeats.
     static constexpr std::size_t max_waiting = 64;
 
-    // Rising in both fields.
+    // Increasing in both fields.
     std::deque<proof> waiting_;
     log_index applied_index_ = 0;
     time_point as_of_{};
--- a/nutmegusher/control/freshness_tracker_test.cpp
+++ b/nutmegusher/control/freshness_tracker_test.cpp
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 constexpr time_point start{std::chrono::hours(1)};
-// Above two heartbeats and the round trip of a proof.
+// Longer than two heartbeats and the round trip of a proof.
 constexpr milliseconds max_expected_age{250};
 
 TEST(freshness_tracker, counts_once_the_commit_is_applied)
@@ -35,7 +35,8 @@
     EXPECT_EQ(known.as_of(), start + seconds(1));
 }
 
-// While thousands of entries arrive the first proofs are the ones to keep.
+// While thousands of entries arrive, the first proofs must be kept: they are
+// reached first.
 TEST(freshness_tracker, moves_on_during_a_long_catch_up)
 {
     freshness_tracker known;
@@ -106,7 +107,7 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// The leader's heartbeats go on for a while, and prove nothing any more.
+// The leader's heartbeats continue for a while but no longer prove anything.
 TEST_F(group_freshness, ages_with_a_leader_that_lost_its_majority)
 {
     auto& leads = *hosts.leader();
@@ -129,7 +130,8 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// A learner stands for nothing, so nothing else tells it that its leader went.
+// A learner never starts an election, so it must notice the loss of its leader
+// by the timeout alone.
 TEST_F(group_freshness, a_learner_forgets_a_leader_that_went_silent)
 {
     auto members = hosts.all_voters();
@@ -166,7 +168,7 @@
     EXPECT_LE(age(again), max_expected_age);
 }
 
-// Entries of megabytes for others, and a message may be under way for seconds.
+// Large entries for other hosts (megabytes) can delay a message for seconds.
 TEST_F(group_freshness, is_never_claimed_too_soon_over_slow_messages)
 {
     hosts.faults.max_delay = milliseconds(700);
--- a/nutmegusher/control/lag_monitor.hpp
+++ b/nutmegusher/control/lag_monitor.hpp
@@ -1,5 +1,5 @@
-// Tells when a lag is worth a log line: once it has lasted, now and then while
-// it lasts, and when it has ended.
+// Decides when a lag is logged: once it has lasted a while, at intervals while
+// it lasts, and when it ends.
 #ifndef NUTMEGUSHER_CONTROL_LAG_MONITOR_HPP
 #define NUTMEGUSHER_CONTROL_LAG_MONITOR_HPP
 
@@ -13,10 +13,10 @@
 
 struct lag_monitor_options
 {
-    // Shorter lags are ordinary: an entry is under way, or a leader was
-    // elected.
+    // Shorter lags are normal: an entry is in flight, or a leader election has
+    // just taken place.
     duration report_after = std::chrono::seconds(1);
-    // Between two lines on one lag.
+    // Interval between two log lines about the same lag.
     duration report_interval = std::chrono::seconds(10);
 };
 
@@ -29,10 +29,12 @@
 struct lag_report
 {
     lag_state state = lag_state::ongoing;
-    // Since the lag began.
+    // Time since the lag began.
     duration length{0};
 };
 
+// Example:
+//
 //     lag_monitor monitor;
 //     if (const auto report = monitor.update(is_behind, now)) ...
 class lag_monitor
@@ -40,7 +42,8 @@
 public:
     explicit lag_monitor(lag_monitor_options options = {});
 
-    // What is to be told now; nothing most of the time.
+    // Returns a report if a log line is due now. `lags`: whether there is a lag
+    // now.
     [[nodiscard]] std::optional<lag_report> update(bool lags, time_point now);
 
 private:
--- a/nutmegusher/control/replica.cpp
+++ b/nutmegusher/control/replica.cpp
@@ -77,7 +77,8 @@
     {
         return;
     }
-    // A leader that was frozen finds out before it believes late answers.
+    // A leader whose process was suspended must step down before it processes
+    // replies that arrived late.
     if (role_ == replica_role::leader && !holds_lease(now))
     {
         become_follower(term(), std::nullopt, now);
@@ -95,7 +96,8 @@
     const replica_id from(message.from());
     if (message.term() < term())
     {
-        // Tells a deposed leader or a candidate that fell behind.
+        // A reply with the current term informs a deposed leader or an outdated
+        // candidate.
         if (is_append)
         {
             reply_append(from, false, log_.last_index(), 0);
--- a/nutmegusher/control/replica.hpp
+++ b/nutmegusher/control/replica.hpp
@@ -2,9 +2,10 @@
 //
 // The algorithm is Raft with pre-vote, check-quorum, reads confirmed by a
 // heartbeat round, snapshots, leadership transfer, learners and membership
-// changes of one voter at a time. The class is a pure state machine: it takes
-// (event, time) and collects what is to be done in a `replica_ready`. It opens
-// no file and no connection, starts no thread and reads no clock.
+// changes of one voter at a time. The class is a pure state machine: each call
+// takes an event and the current time, and the resulting work is collected in a
+// `replica_ready`. It opens no file and no connection, starts no thread and
+// reads no clock.
 //
 //     auto node = replica::create(settings, recovered, engine, now);
 //     node->tick(now);
@@ -40,62 +41,69 @@
 namespace nutmegusher
 {
 
-// One data folder of one host, for ever: an emptied folder is another one.
+// Identifies one data folder of one host. A folder that was emptied gets a new
+// id.
 using replica_id = number<struct replica_id_tag>;
 
-// Names a read until it is confirmed; unique within one run of the replica.
+// Identifies a pending read; unique within one run of the replica.
 using read_ticket = number<struct read_ticket_tag>;
 
-// How long things take. All are far above the round trip between data centres.
+// Timing parameters. All are far above the round trip between data centres.
 struct replica_timing
 {
-    // Between two heartbeat rounds of a leader.
+    // Interval between two heartbeat rounds of a leader.
     duration heartbeat = std::chrono::milliseconds(50);
-    // A follower stands after this much silence, up to twice as much; a leader
-    // steps down when a majority has been silent for this long.
+    // A follower starts an election after one to two times this long without
+    // contact from a leader (chosen at random). A leader steps down once it has
+    // had no contact with a majority for this long.
     duration election_timeout = std::chrono::milliseconds(400);
-    // Until it has heard of a leader since its start, a host asks after this
-    // whether it may stand, up to twice as much: nothing is lost by asking, and
-    // hosts that start together aren't all there in the same moment. With the
-    // timeout above service came back 0.4 s later after a loss of all power.
+    // A host that has had no contact with a leader since its start begins a
+    // pre-vote after one to two times this long. A pre-vote changes no state at
+    // the others, so it is safe to start early, and hosts that start together
+    // don't become reachable at the same moment. With `election_timeout`
+    // instead, service resumed 0.4 s later after a total power loss.
     duration start_timeout = std::chrono::milliseconds(100);
-    // Before a snapshot that wasn't answered is sent again, beside the time
-    // that its bytes take.
+    // Wait before an unacknowledged snapshot is sent again, in addition to its
+    // transfer time.
     duration snapshot_retry = std::chrono::seconds(2);
-    // Before entries that weren't answered are sent again, beside the time that
-    // their bytes take: a heartbeat overtakes them, and its rejection says
-    // nothing of their loss. Twice the heartbeat.
+    // Wait before unacknowledged entries are sent again, in addition to their
+    // transfer time. A heartbeat can overtake entries, so its rejection doesn't
+    // show that they were lost. Twice the heartbeat interval.
     duration entry_retry = std::chrono::milliseconds(100);
 };
 
-// Bounds of one message and of what may be unanswered.
+// Limits on the size of one message and on unacknowledged data.
 struct replica_limits
 {
     std::size_t entries_per_message = 512;
     std::size_t bytes_per_message = 256 * 1024;
-    // Sent to one follower and not yet answered. More is sent while fewer bytes
-    // are under way, so a single large entry passes. Without the bound on bytes
-    // a follower that lacked many large entries got them all at once: more
-    // than its line carries before they count as lost, again and again.
+    // Limits on what one follower has not yet acknowledged. A message may be
+    // sent while fewer bytes are in flight, so a single large entry always
+    // passes. Without the limit on bytes, a follower that lacked many large
+    // entries was sent all of them at once: more than its link carries before
+    // the retry timeout, so they were sent again and again.
     std::uint64_t entries_in_flight = 4096;
     std::size_t bytes_in_flight = 512 * 1024;
-    // What one follower receives and syncs at least: a tenth of a line of 86
-    // Mbit/s, on which four followers and a data centre's daemons are served.
+    // Minimum rate at which one follower is assumed to receive and sync. A
+    // tenth of a link of 86 Mbit/s that also serves four followers and a data
+    // centre's daemons.
     double bytes_per_second = 1'000'000;
-    // In the leader's log and not yet committed; more are refused.
+    // Limit on uncommitted entries in the leader's log; further proposals are
+    // refused.
     std::uint64_t uncommitted_entries = 16384;
 };
 
 struct replica_settings
 {
-    // Which log: 0 is the configuration, 1 and up are claims.
+    // Number of the Raft group: 0 holds the configuration, 1 and up hold
+    // claims.
     std::uint32_t group = 0;
     replica_id self;
     replica_timing timing;
     replica_limits limits;
 };
 
-// What storage gave back at the start.
+// The state that storage recovered at startup.
 struct recovered_log
 {
     messages::hard_state state;
@@ -111,17 +119,17 @@
     leader
 };
 
-// Why a request to a replica was refused; nothing has happened then.
+// Why a request to a replica was refused. A refused request has no effect.
 enum class replica_refusal : std::uint8_t
 {
     not_leader,
-    busy,                 // too much uncommitted, or a transfer is under way
+    busy,                 // too many uncommitted entries, or a transfer runs
     membership_pending,   // the previous membership change isn't committed
     too_many_changes,     // more than one voter differs
     not_caught_up,        // the learner lacks committed entries
-    unknown_member,       // no such voter, or none would be left
-    already_transferring, // to another voter
-    declined              // the voter is about to stop
+    unknown_member,       // no such voter, or no voter would remain
+    already_transferring, // a transfer to another voter is running
+    declined              // the target voter is about to stop
 };
 
 struct replica_failure
@@ -129,23 +137,23 @@
     replica_refusal refusal;
 };
 
-// Where a proposal stands in the log. It is accepted when the entry committed
-// at `index` has this `term`; an entry of another term there means that the
-// proposal is lost.
+// Position of a proposal in the log. The proposal is accepted if the entry
+// committed at `index` has this `term`. If it has another term, the proposal is
+// lost.
 struct proposal_position
 {
     log_index index = 0;
     log_term term = 0;
 };
 
-// A read that may be answered from state that has applied `index`.
+// A read that may be answered from any state that has applied `index`.
 struct confirmed_read
 {
     read_ticket ticket;
     log_index index = 0;
 };
 
-// Who leads, as far as this replica knows.
+// The current term and its leader, as far as this replica knows.
 struct leadership
 {
     log_term term = 0;
@@ -154,95 +162,103 @@
     friend bool operator==(const leadership&, const leadership&) = default;
 };
 
-// What the driver must do, in this order.
+// The work for the driver, in this order.
 struct replica_ready
 {
-    // May leave before the sync: a leader's entries.
+    // Messages that may be sent before the sync: a leader's appends and
+    // snapshots.
     std::vector<messages::replica_message> early_messages;
-    // Persist and sync: a received snapshot (it replaces the whole log), the
-    // hard state, entries (they replace what stands at their indexes).
+    // To persist and sync: a received snapshot (it replaces the whole log), the
+    // hard state, and entries (they replace the stored log from their first
+    // index on).
     std::optional<messages::snapshot> install;
     std::optional<messages::hard_state> state;
     std::vector<messages::log_entry> entries;
-    // True: without a sync the messages below would lie.
+    // If true, `messages` must not be sent before the sync: they promise that
+    // the data above is durable.
     bool must_sync = false;
-    // Leave only after the sync.
+    // Messages to send only after the sync.
     std::vector<messages::replica_message> messages;
-    // Apply in order; after `install` was restored.
+    // Entries to apply in order, after `install` has been restored.
     std::vector<messages::log_entry> committed;
-    // Answer after `committed` was applied.
+    // Reads to answer after `committed` has been applied.
     std::vector<confirmed_read> reads;
-    // Never confirmed: leadership was lost.
+    // Reads that failed because leadership was lost.
     std::vector<read_ticket> failed_reads;
-    // Present where it changed.
+    // Set if the leader or the term changed.
     std::optional<leadership> changed_leadership;
 };
 
-// How far a follower is, for the state dump and the repair command.
+// Replication progress of one follower, for the state dump and the repair
+// command.
 struct follower_progress
 {
     replica_id id;
     log_index match = 0;
     bool recently_active = false;
     bool installing = false;
-    // About to stop; it refuses leadership.
+    // True if the follower is about to stop and refuses leadership.
     bool declines_leadership = false;
-    // Sent, and neither answered nor taken for lost.
+    // Bytes sent, not yet acknowledged and not considered lost.
     std::size_t unanswered_bytes = 0;
-    // Times that entries were taken for lost since the last progress.
+    // Retransmissions since the follower last made progress.
     unsigned resends = 0;
 };
 
 class replica
 {
 public:
-    // The engine is used through the replica's life. Fails with
-    // `replica_failure` where `settings.self` is 0.
+    // Requires: `engine` outlives the replica. Fails with `replica_failure` if
+    // `settings.self` is 0.
     [[nodiscard]] static leaf::result<replica> create(
         const replica_settings& settings,
         recovered_log recovered,
         random_engine& engine,
         time_point now);
 
-    // Call at least every quarter of a heartbeat.
+    // Advances timers. Call at least every quarter of a heartbeat.
     void tick(time_point now);
 
-    // A message of another member. What isn't for this replica is dropped.
+    // Processes a message from another member. Messages for another group or
+    // replica are dropped.
     void step(const messages::replica_message& message, time_point now);
 
-    // Appends an entry; its index and term are filled in.
+    // Appends an entry to the leader's log; its index and term are filled in.
     [[nodiscard]] leaf::result<proposal_position>
     propose(messages::log_entry payload, time_point now);
 
-    // Changes the members; one voter may differ, and a learner is promoted
-    // only when it holds all that is committed.
+    // Proposes new members. At most one voter may differ, and a learner is
+    // promoted only if it holds all committed entries.
     [[nodiscard]] leaf::result<proposal_position>
     propose_members(messages::replica_set members, time_point now);
 
-    // A linearizable read: confirmed later in a `replica_ready`, or failed.
+    // Starts a linearizable read, which a later `replica_ready` reports as
+    // confirmed or failed.
     [[nodiscard]] leaf::result<read_ticket> read(time_point now);
 
-    // Planned: brings `to` up to date and has it stand. Gives up after an
-    // election timeout, and proposals are refused until then.
+    // Transfers leadership to `to`: brings it up to date and asks it to start
+    // an election. Gives up after an election timeout; proposals are refused
+    // until then.
     [[nodiscard]] leaf::result<void>
     transfer_leadership(replica_id to, time_point now);
 
-    // For a planned stop: from now on leadership can't be passed here. It may
-    // still win an ordinary election, where no one else can.
+    // For a planned stop: from now on leadership can't be transferred to this
+    // replica. It may still win an ordinary election if no other voter can.
     void decline_leadership();
 
-    // Nothing where there is nothing to do.
+    // Returns the pending work; no value if there is none.
     [[nodiscard]] std::optional<replica_ready> take_ready(time_point now);
 
-    // All of the last `take_ready` is durable. Nothing else may be called in
-    // between. Where saving failed, destroy the replica instead.
+    // Reports that everything from the last `take_ready` is durable. Call it
+    // before any other function. If saving failed, destroy the replica instead.
     void saved();
 
-    // Forgets entries up to `index`. Requires: a snapshot of the state machine
-    // that covers them is durable, and the snapshot source gives it.
+    // Drops entries up to `index` from the log. Requires: a durable snapshot of
+    // the state machine covers them, and the snapshot source returns it.
     void compact(log_index index);
 
-    // Gives the latest durable snapshot, for a follower that is too far back.
+    // Returns the latest durable snapshot, for a follower whose next entry is
+    // no longer in the log.
     using snapshot_source = std::function<std::optional<messages::snapshot>()>;
     void set_snapshot_source(snapshot_source source);
 
@@ -271,21 +287,22 @@
         return state_.commit();
     }
 
-    // The highest commit that a leader has told or that is known here: above
-    // `commit` while entries are missing here.
+    // The highest commit index that a leader has reported or that is known
+    // here. Above `commit` while entries are missing here.
     [[nodiscard]] log_index leader_commit() const
     {
         return std::max(leader_commit_, commit());
     }
 
-    // What was handed out as committed holds all that a majority had accepted
-    // at this moment of the own clock; the clock's start: nothing was proved.
+    // All entries that a majority had accepted by this time (of the local
+    // clock) have been handed out as committed. The clock's start if nothing
+    // was proved yet.
     [[nodiscard]] time_point known_current_at() const
     {
         return freshness_.as_of();
     }
 
-    // Term, vote and commit, as they must be durable.
+    // Term, vote and commit index that must be made durable.
     [[nodiscard]] const messages::hard_state& hard_state() const
     {
         return state_;
@@ -301,70 +318,74 @@
         return log_;
     }
 
-    // Members as of the last entry of the log.
+    // The members as of the last entry of the log, committed or not.
     [[nodiscard]] const messages::replica_set& members() const
     {
         return log_.members();
     }
 
-    // True where the latest membership is committed.
+    // True if the latest membership is committed.
     [[nodiscard]] bool members_committed() const
     {
         return log_.members_index() <= commit();
     }
 
-    // A leader's view of the others; empty on followers.
+    // A leader's view of the other members; empty on followers.
     [[nodiscard]] std::vector<follower_progress> progress(time_point now) const;
 
-    // True while this replica leads and a majority has answered within an
-    // election timeout, counted from the sending.
+    // True while this replica leads and a majority has acknowledged a heartbeat
+    // round that was sent less than an election timeout ago.
     [[nodiscard]] bool holds_lease(time_point now) const;
 
 private:
-    // One message with entries.
+    // One message with entries that isn't acknowledged yet.
     struct in_flight_message
     {
         log_index last = 0;
         std::size_t bytes = 0;
     };
 
-    // Entries that were sent and may still arrive.
+    // Entries that were sent and may still arrive. Considered lost at
+    // `deadline`.
     struct in_flight_entries
     {
         log_index first = 0;
         log_index last = 0;
         std::deque<in_flight_message> unacknowledged;
-        // Of all parts.
+        // Sum over all messages in `unacknowledged`.
         std::size_t bytes = 0;
         time_point deadline;
     };
 
-    // What a leader knows of one other member.
+    // A leader's state for one other member.
     struct peer
     {
         log_index match = 0;
         log_index next = 1;
-        // True: one append at a time, until the point of agreement is found.
+        // If true, sends one append at a time until the last matching entry is
+        // found.
         bool probing = true;
         bool probe_sent = false;
         bool declines_leadership = false;
         std::optional<in_flight_entries> in_flight;
-        // Times that entries were taken for lost since the last progress.
+        // Retransmissions since the follower last made progress.
         unsigned resends = 0;
-        // When a snapshot that was sent is taken for lost.
+        // When the snapshot in flight is considered lost. Unset: none is in
+        // flight.
         std::optional<time_point> snapshot_deadline;
         std::uint64_t acknowledged_round = 0;
-        // What the follower wrote on its latest reply.
+        // Run id and time from the follower's latest reply.
         std::uint64_t last_reply_run = 0;
         std::uint64_t last_reply_us = 0;
-        // When the acknowledged round was sent.
+        // When the latest acknowledged round was sent.
         time_point lease_start{};
     };
 
     struct pending_read
     {
         read_ticket ticket;
-        // Unset until a round has been started for it.
+        // The heartbeat round that confirms it; unset until that round has
+        // started.
         std::optional<std::uint64_t> round;
     };
 
@@ -417,7 +438,7 @@
     // replica_follower.cpp
     void on_append(const messages::replica_message& message, time_point now);
     void record_proof(const messages::append_request& request, time_point now);
-    // False: the request contradicts what is committed.
+    // Returns false if the request contradicts committed entries.
     bool accept_entries(const messages::append_request& request);
     void reply_append(
         replica_id to, bool success, log_index match, std::uint64_t round);
@@ -433,10 +454,10 @@
     static void record_rejection(peer& from, log_index hint, time_point now);
     void record_sent(
         peer& to, const messages::append_request& request, time_point now);
-    // Drops the parts that the follower holds.
+    // Drops the messages whose entries the follower holds.
     static void drop_acknowledged(in_flight_entries& sent, log_index match);
     void reset_entry_deadline(peer& to, time_point now) const;
-    // Until what was sent counts as lost.
+    // Time until `bytes` that were sent are considered lost.
     [[nodiscard]] duration
     loss_timeout(std::size_t bytes, duration retry, unsigned resends) const;
     [[nodiscard]] bool can_send_more(const peer& to) const;
@@ -450,7 +471,8 @@
     void advance_commit();
     void confirm_reads();
     void check_transfer(time_point now);
-    // A majority has answered a round that was sent then.
+    // The send time of the latest heartbeat round that a majority has
+    // acknowledged.
     [[nodiscard]] time_point majority_acknowledged_at() const;
     [[nodiscard]] time_point lease_end() const;
     [[nodiscard]] bool own_term_committed() const;
@@ -460,7 +482,7 @@
 
     replica_settings settings_;
     random_engine* engine_;
-    // Tells its replies from those of an earlier run.
+    // Random; distinguishes this run's replies from those of an earlier run.
     std::uint64_t run_id_ = 0;
     snapshot_source snapshot_source_;
 
--- a/nutmegusher/control/replica_election.cpp
+++ b/nutmegusher/control/replica_election.cpp
@@ -1,4 +1,4 @@
-// Elections: pre-vote, votes, and the planned hand-over to a chosen voter.
+// Elections: pre-vote, votes, and the receiver's side of a leadership transfer.
 #include "nutmegusher/control/replica.hpp"
 
 #include <algorithm>
@@ -47,8 +47,8 @@
            now - *leader_contact_at_ < settings_.timing.election_timeout;
 }
 
-// Asks first whether a majority would vote, so that a host that was cut off
-// doesn't raise the term and depose a working leader when it comes back.
+// Runs a pre-vote first, so that a host that rejoins after a network partition
+// doesn't raise the term and depose a working leader.
 void replica::start_pre_vote(time_point now)
 {
     set_election_deadline(
@@ -74,7 +74,7 @@
     leader_.reset();
     set_term(term() + 1);
     state_.set_voted_for(settings_.self.value());
-    // The own vote counts once it is durable: see `saved`.
+    // This replica's own vote counts once it is durable; see `saved`.
     vote_unsaved_ = true;
     votes_.clear();
     refusals_.clear();
@@ -193,7 +193,8 @@
     peers_.clear();
     round_starts_.clear();
     refresh_peers();
-    // Entries of earlier terms commit only together with one of this term.
+    // Entries of earlier terms are committed only together with an entry of
+    // this term, so the leader appends one at once.
     messages::log_entry entry;
     entry.set_no_operation(true);
     append_to_log(std::move(entry));
--- a/nutmegusher/control/replica_follower.cpp
+++ b/nutmegusher/control/replica_follower.cpp
@@ -1,4 +1,4 @@
-// What a follower does with a leader's entries and snapshots.
+// The follower's side of replication: accepts entries and snapshots.
 #include "nutmegusher/control/replica.hpp"
 
 #include <algorithm>
@@ -24,7 +24,7 @@
     return true;
 }
 
-// Rounded down: a reply is never taken for a later one.
+// Rounded down, so that a reply never appears later than it was sent.
 std::uint64_t to_us(time_point at)
 {
     using std::chrono::microseconds;
@@ -52,7 +52,7 @@
     const auto previous = request.previous_index();
     if (previous < log_.base_index())
     {
-        // All up to the commit is known to agree.
+        // Entries up to the commit index are known to match the leader's.
         reply_append(from, true, commit(), request.round());
         return;
     }
@@ -99,7 +99,7 @@
         }
         if (entry.index() <= commit())
         {
-            return false; // no leader of this log sends that
+            return false; // contradicts a committed entry
         }
         if (entry.index() <= log_.last_index())
         {
--- a/nutmegusher/control/replica_leader.cpp
+++ b/nutmegusher/control/replica_leader.cpp
@@ -1,4 +1,5 @@
-// Replication: what a leader sends, counts and confirms.
+// The leader's side of replication: sends entries and snapshots, advances the
+// commit index and confirms reads.
 #include "nutmegusher/control/replica.hpp"
 
 #include <algorithm>
@@ -10,11 +11,12 @@
 namespace
 {
 
-// Entries that are lost again and again are still sent every few seconds.
+// Caps the exponential backoff, so that entries that are lost repeatedly are
+// still sent every few seconds.
 constexpr unsigned max_doublings = 3;
 
-// The value that at least `count` of `values` reach. Requires: count isn't 0
-// and at most the number of values.
+// The highest value that at least `count` of `values` are at or above.
+// Requires: 1 <= count <= values.size().
 template <class T>
 T value_reached_by(std::vector<T> values, std::size_t count)
 {
@@ -84,9 +86,10 @@
     from.probing = false;
 }
 
-// A heartbeat that overtook the entries before it is rejected, and they may
-// still come. Taken for lost at once they were sent again at each heartbeat:
-// with 500 KB to four followers on 86 Mbit/s no leader kept its lease.
+// A heartbeat that overtakes the entries before it is rejected, although the
+// entries may still arrive. Sending them again on each such rejection repeated
+// them at every heartbeat: with 500 KB to four followers on 86 Mbit/s, no
+// leader kept its lease.
 void replica::record_rejection(peer& from, log_index hint, time_point now)
 {
     const auto& sent = from.in_flight;
@@ -117,8 +120,9 @@
     auto& sent = to.in_flight;
     if (sent && first == sent->last + 1)
     {
-        // The first of them is due when it was: new ones that came each 33 ms
-        // put off for good what the loss of an earlier one asked for.
+        // Keeps the deadline of the first entry. Extending it for each new
+        // message, with one every 33 ms, postponed the resend of a lost entry
+        // forever.
         sent->last = added.last;
         sent->unacknowledged.push_back(added);
         sent->bytes += added.bytes;
@@ -145,8 +149,8 @@
     sent.deadline = now + loss_timeout(sent.bytes, retry, to.resends);
 }
 
-// Twice as long after each loss, so that a line that is slower than expected
-// isn't given everything again and again.
+// Exponential backoff: doubles after each loss, so that a link that is slower
+// than expected isn't sent the same data again and again.
 duration
 replica::loss_timeout(std::size_t bytes, duration retry, unsigned resends) const
 {
@@ -173,7 +177,8 @@
         std::max(from.lease_start, round_starts_[position].second);
 }
 
-// A late reply of an earlier run takes a proof from the follower, no more.
+// A late reply of an earlier run overwrites these fields. The follower then
+// ignores the next proof, which is harmless.
 void replica::record_reply_time(peer& from, const messages::append_reply& reply)
 {
     const bool same_run = from.last_reply_run == reply.run();
@@ -248,7 +253,8 @@
 {
     if (progress.snapshot_deadline)
     {
-        // Keeps the follower from standing while it takes the snapshot in.
+        // Heartbeats keep the follower from starting an election while it
+        // installs the snapshot.
         if (heartbeat)
         {
             send_append(to, progress, now);
--- a/nutmegusher/control/replica_log.cpp
+++ b/nutmegusher/control/replica_log.cpp
@@ -18,7 +18,7 @@
     {
         if (entry.index() == base_index_ && entry.term() != base_term_)
         {
-            return; // of a log that the snapshot has replaced
+            return; // entries of a log that the snapshot replaced
         }
         if (entry.index() > base_index_)
         {
--- a/nutmegusher/control/replica_log.hpp
+++ b/nutmegusher/control/replica_log.hpp
@@ -1,4 +1,4 @@
-// The log of one replica in memory: the entries behind its last snapshot.
+// The in-memory log of one replica: the entries after its last snapshot.
 #ifndef NUTMEGUSHER_CONTROL_REPLICA_LOG_HPP
 #define NUTMEGUSHER_CONTROL_REPLICA_LOG_HPP
 
@@ -12,13 +12,14 @@
 namespace nutmegusher
 {
 
-// Position in a log; the first entry has 1, and 0 stands before it.
+// Position in a log. The first entry has index 1; 0 is the position before it.
 using log_index = std::uint64_t;
-// Number of an election; each has at most one leader.
+// Raft term: number of an election. Each term has at most one leader.
 using log_term = std::uint64_t;
 
-// Entries with consecutive indexes that start behind a base. Knows the group's
-// members as of every index it holds.
+// Entries with consecutive indexes that follow a base (the last index of a
+// snapshot). Also tracks the group's members as of every index from the base
+// on.
 class replica_log
 {
 public:
@@ -28,7 +29,7 @@
         const messages::snapshot& base,
         std::vector<messages::log_entry> entries);
 
-    // The index before the first entry held.
+    // The index before the first entry in memory.
     [[nodiscard]] log_index base_index() const
     {
         return base_index_;
@@ -41,7 +42,7 @@
 
     [[nodiscard]] log_term last_term() const;
 
-    // Nothing where the index is before the base or after the end.
+    // No value if the index is before the base or after the end.
     [[nodiscard]] std::optional<log_term> term_at(log_index index) const;
 
     // Requires: base_index() < index <= last_index().
@@ -50,20 +51,20 @@
         return entries_[index - base_index_ - 1];
     }
 
-    // The first index of the term that `index` belongs to, as far as held.
+    // The first index in memory that has the same term as `index`.
     [[nodiscard]] log_index first_of_term(log_index index) const;
 
     // Requires: the entry's index is last_index() + 1.
     void append(messages::log_entry entry);
 
-    // Drops everything above `index`. Requires: index >= base_index().
+    // Drops all entries above `index`. Requires: index >= base_index().
     void truncate_after(log_index index);
 
-    // Forgets entries up to and including `index`, which stays as the base.
+    // Drops entries up to and including `index`, which becomes the base.
     // Requires: base_index() <= index <= last_index().
     void compact(log_index index);
 
-    // Starts again behind a snapshot, without entries.
+    // Drops all entries and makes the snapshot's last index the base.
     void reset(const messages::snapshot& base);
 
     // The group's members as of the last entry, committed or not.
@@ -72,7 +73,7 @@
         return memberships_.back().members;
     }
 
-    // The index of the entry that made `members()`.
+    // The index of the entry that set `members()`.
     [[nodiscard]] log_index members_index() const
     {
         return memberships_.back().index;
@@ -92,7 +93,7 @@
     log_index base_index_ = 0;
     log_term base_term_ = 0;
     std::deque<messages::log_entry> entries_;
-    // Rising indexes; the first one is at or below the base.
+    // Sorted by index; the first one is at or below the base.
     std::vector<indexed_membership> memberships_;
 };
 
--- a/nutmegusher/control/replica_requests.cpp
+++ b/nutmegusher/control/replica_requests.cpp
@@ -1,4 +1,5 @@
-// What the host asks of its replica: proposals, reads, membership, transfer.
+// Requests from the local host: proposals, reads, membership, leadership
+// transfer.
 #include "nutmegusher/control/replica.hpp"
 
 #include <algorithm>
@@ -24,7 +25,7 @@
     return voters;
 }
 
-// Every identity once, and none is 0.
+// True if no identity is 0 or occurs twice.
 bool has_distinct_identities(const messages::replica_set& members)
 {
     std::set<std::uint64_t> seen;
@@ -87,8 +88,9 @@
 std::optional<replica_refusal>
 replica::check_members(const messages::replica_set& members) const
 {
-    // Two memberships that follow each other must share a majority voter, and
-    // that holds only where the earlier one is committed in this term.
+    // Any majorities of two consecutive memberships must overlap. That holds
+    // only if the earlier one is committed and this leader has committed an
+    // entry in its own term.
     if (!members_committed() || !own_term_committed())
     {
         return replica_refusal::membership_pending;
--- a/nutmegusher/control/replicated_group.hpp
+++ b/nutmegusher/control/replicated_group.hpp
@@ -1,5 +1,5 @@
-// A state machine kept the same on several hosts: replica, storage and machine
-// in one, without network and threads.
+// A state machine that is replicated over several hosts: combines replica,
+// storage and state machine, without network and threads.
 #ifndef NUTMEGUSHER_CONTROL_REPLICATED_GROUP_HPP
 #define NUTMEGUSHER_CONTROL_REPLICATED_GROUP_HPP
 
@@ -18,22 +18,27 @@
 namespace nutmegusher
 {
 
-// When a snapshot is due: enough entries or bytes, and a log that outweighs the
-// last snapshot, so that the cost of snapshots stays a fixed share of all
-// writing. By entries alone hundreds of large documents stayed in memory and on
-// disk, and a host that was emptied had to be sent each of them.
+// When a snapshot is due: after enough entries or bytes, and once the log
+// outweighs the last snapshot, so that snapshots cost a fixed share of all
+// writes. When only entries were counted, hundreds of large documents stayed in
+// memory and on disk, and a host whose disk was emptied had to be sent each of
+// them.
 struct snapshot_policy
 {
     std::uint64_t entries_between = 4096;
     double log_to_snapshot_ratio = 2.0;
-    // Kept in the log behind a snapshot, for followers that lag a little: at
-    // most so many entries, and bytes.
+    // Entries that stay in the log although a snapshot covers them, for
+    // followers that lag a little. `entries_kept` and `bytes_kept` are both
+    // upper limits.
     std::uint64_t entries_kept = 1024;
     std::uint64_t bytes_between = 4 * 1024 * 1024;
     std::uint64_t bytes_kept = 1024 * 1024;
 };
 
-// Told of what happens in a turn, in this order for each committed entry.
+// Receives the results of `replicated_group::process_ready`. A batch of work is
+// reported in this order: `send`, then `restored` and `members_changed` for a
+// received snapshot, `applied` or `members_changed` for each committed entry,
+// `read_confirmed`, `read_failed`, `leadership_changed`.
 template <class T, class Result>
 concept group_listener = requires(
     T& listener,
@@ -54,9 +59,9 @@
     listener.leadership_changed(present);
 };
 
-// One group on one host. After any failure of `process_ready` the group must be
-// destroyed: what it promised last may not be durable. Opening it again is the
-// same as a restart.
+// One group on one host. If `process_ready` fails, the group must be destroyed:
+// what it promised last may not be durable. Opening it again is equivalent to a
+// restart.
 template <disk Disk, state_machine Machine>
 class replicated_group
 {
@@ -64,7 +69,7 @@
     using result_type = typename Machine::result_type;
 
     // Requires: disk and engine outlive the group. `must_exist`: the group was
-    // used before, so that missing files are a failure.
+    // used before, so missing files are a failure.
     [[nodiscard]] static leaf::result<std::unique_ptr<replicated_group>> open(
         const replica_settings& settings,
         const snapshot_policy& policy,
@@ -85,7 +90,7 @@
         recovered.base.clear_state();
         BOOST_LEAF_AUTO(
             core, replica::create(settings, std::move(recovered), engine, now));
-        // Not make_unique: the constructor is private.
+        // make_unique can't call the private constructor.
         return std::unique_ptr<replicated_group>(new replicated_group(
             policy,
             std::move(storage),
@@ -125,13 +130,13 @@
         return machine_;
     }
 
-    // The last entry that `machine` has applied.
+    // Index of the last entry that `machine` has applied.
     [[nodiscard]] log_index applied() const
     {
         return applied_index_;
     }
 
-    // The last entry that the durable snapshot covers.
+    // Index of the last entry that the durable snapshot covers.
     [[nodiscard]] log_index snapshot_index() const
     {
         return snapshot_index_;
@@ -142,8 +147,9 @@
         return storage_;
     }
 
-    // Persists, sends and applies whatever is due. Fails with
-    // `storage_failure`, or with what `Machine::restore` fails with.
+    // Persists, sends and applies all pending work, and takes a snapshot if one
+    // is due. Fails with `storage_failure`, or with the error of
+    // `Machine::restore`.
     template <group_listener<result_type> Listener>
     [[nodiscard]] leaf::result<void>
     process_ready(Listener& listener, time_point now)
@@ -159,7 +165,7 @@
         return {};
     }
 
-    // Makes a snapshot now and drops the log behind it.
+    // Takes a snapshot now and compacts the log.
     [[nodiscard]] leaf::result<void> take_snapshot()
     {
         messages::snapshot content;
@@ -291,7 +297,7 @@
                double(storage_.log_bytes()) >= weight;
     }
 
-    // What stays in the log behind a snapshot starts above this index.
+    // The log is compacted up to this index; later entries stay.
     [[nodiscard]] log_index compaction_index() const
     {
         const auto& log = core_.log();
@@ -310,7 +316,8 @@
         return index;
     }
 
-    // The log file that goes with a snapshot of `applied_index_`.
+    // The content of the log file that goes with a snapshot at
+    // `applied_index_`.
     [[nodiscard]] messages::log_frame retained_log() const
     {
         messages::log_frame frame;
--- a/nutmegusher/control/state_machine.hpp
+++ b/nutmegusher/control/state_machine.hpp
@@ -1,4 +1,4 @@
-// What a replicated log drives.
+// The concept of a state machine that is driven by a replicated log.
 #ifndef NUTMEGUSHER_CONTROL_STATE_MACHINE_HPP
 #define NUTMEGUSHER_CONTROL_STATE_MACHINE_HPP
 
@@ -12,10 +12,10 @@
 namespace nutmegusher
 {
 
-// `apply` is called once for each committed entry that has a payload of its
-// own (not for leaders' first entries and memberships), in log order, and must
-// depend on nothing but the state and the entry. `restore` reads what
-// `snapshot` wrote and fails with a type of the machine's package.
+// `apply` is called once for each committed entry with a payload (not for
+// no-operation entries and membership changes), in log order. It must depend on
+// nothing but the state and the entry. `restore` reads what `snapshot` wrote
+// and fails with an error type of its own.
 template <class T>
 concept state_machine = std::default_initializable<T> && std::movable<T> &&
     requires(
