--- a/nutmegusher/control/disk.hpp
+++ b/nutmegusher/control/disk.hpp
@@ -1,4 +1,5 @@
-// What the control hosts need of a disk: few files, named by relative paths.
+// The file operations that control hosts need: a few files, named by relative
+// paths.
 #ifndef NUTMEGUSHER_CONTROL_DISK_HPP
 #define NUTMEGUSHER_CONTROL_DISK_HPP
 
@@ -17,11 +18,12 @@
 // All operations fail with `storage_failure`. Models: `file_disk`, and
 // `memory_disk` for tests.
 //
-// - read: the whole file; nothing where it doesn't exist.
-// - append: at the end, creating the file; durable only after `sync`.
+// - read: returns the whole file; no value if it doesn't exist.
+// - append: writes at the end and creates the file if needed; durable only
+//   after `sync`.
 // - sync: makes the file's appended bytes durable.
-// - replace: writes a whole file; atomic and durable when it returns.
-// - truncate: cuts the file to `size`; durable when it returns.
+// - replace: writes a whole file; atomic, and durable when it returns.
+// - truncate: cuts the file to `size` bytes; durable when it returns.
 template <class T>
 concept disk = requires(
     T& target,
--- a/nutmegusher/control/file_disk.cpp
+++ b/nutmegusher/control/file_disk.cpp
@@ -209,7 +209,8 @@
     {
         return fail(storage_fault::write_failed, file, errno);
     }
-    // The old file's descriptor would append to a file without a name.
+    // The open descriptor refers to the replaced file, which has no name any
+    // more.
     const auto known = open_.find(file);
     if (known != open_.end())
     {
--- a/nutmegusher/control/file_disk.hpp
+++ b/nutmegusher/control/file_disk.hpp
@@ -1,4 +1,4 @@
-// A data folder on a real disk.
+// A `disk` on the file system.
 #ifndef NUTMEGUSHER_CONTROL_FILE_DISK_HPP
 #define NUTMEGUSHER_CONTROL_FILE_DISK_HPP
 
@@ -17,7 +17,7 @@
 namespace internal
 {
 
-// Owns an open file.
+// Owns a file descriptor and closes it.
 class file_descriptor
 {
 public:
@@ -59,12 +59,13 @@
 
 } // namespace internal
 
-// The `disk` that a control host runs on. One process at a time may have the
-// folder open; the lock goes with the process. For one thread.
+// The `disk` that a control host uses. Only one process at a time can open the
+// folder; its lock is released when the process ends. Not thread-safe.
 class file_disk
 {
 public:
-    // Creates the folder where it is missing.
+    // Creates the folder if it doesn't exist. Fails with `in_use` if another
+    // process has it open.
     [[nodiscard]] static leaf::result<file_disk>
     open(const std::filesystem::path& folder);
 
--- a/nutmegusher/control/frame.cpp
+++ b/nutmegusher/control/frame.cpp
@@ -39,11 +39,12 @@
 
 std::uint64_t checksum(std::string_view content)
 {
-    // The length is the seed, so that a damaged length is found as well.
+    // The length is the seed, so that a damaged length is detected as well.
     return XXH3_64bits_withSeed(content.data(), content.size(), content.size());
 }
 
-// The content of the frame at the start of `bytes`, if it is intact.
+// The content of the frame at the start of `bytes`; no value if it isn't
+// intact.
 std::optional<std::string_view> parse_first_frame(std::string_view bytes)
 {
     if (bytes.size() < frame_overhead || !bytes.starts_with(frame_magic))
--- a/nutmegusher/control/group_storage.hpp
+++ b/nutmegusher/control/group_storage.hpp
@@ -1,4 +1,4 @@
-// What one replica keeps on disk: a log of frames and the last snapshot.
+// Durable storage of one replica: a log of frames and the last snapshot.
 #ifndef NUTMEGUSHER_CONTROL_GROUP_STORAGE_HPP
 #define NUTMEGUSHER_CONTROL_GROUP_STORAGE_HPP
 
@@ -20,12 +20,12 @@
 namespace internal
 {
 
-// Puts one frame's entries behind the others; an entry replaces those at its
-// index and above.
+// Appends one frame's entries; an entry replaces those at its index and above.
 void merge_frame(recovered_log& log, messages::log_frame frame);
 
-// Drops entries that the snapshot has replaced: a crash came between writing
-// the one and the other. True where there were any.
+// Drops entries that the snapshot has replaced. They remain if the host crashed
+// after writing the snapshot and before writing the log. Returns true if any
+// entry was dropped.
 bool drop_replaced_entries(recovered_log& log);
 
 void log_tail_cut(
@@ -33,9 +33,9 @@
 
 } // namespace internal
 
-// Files `group-N/log` and `group-N/snapshot` of a disk. Any failure of a
-// writing function leaves what is durable undefined within the last frame: the
-// caller drops the replica and opens the group again, as after a crash.
+// Owns the files `group-N/log` and `group-N/snapshot` of a disk. After a
+// failure of a writing function it is undefined how much of the last frame is
+// durable: destroy the replica and open the group again, as after a crash.
 template <disk Disk>
 class group_storage
 {
@@ -48,9 +48,10 @@
     {
     }
 
-    // Reads all; cuts a torn tail. `must_exist`: fails with `missing` where
-    // the group's files are gone. Fails with `bad_checksum`, with file and
-    // offset, where acknowledged data is damaged.
+    // Reads snapshot and log, and truncates a torn tail of the log.
+    // `must_exist`: fails with `missing` if the group's files don't exist.
+    // Fails with `bad_checksum`, with file and offset, if acknowledged data is
+    // damaged.
     [[nodiscard]] leaf::result<recovered_log> load(bool must_exist)
     {
         recovered_log recovered;
@@ -90,14 +91,15 @@
         return recovered;
     }
 
-    // Makes the files of a group that has nothing yet, so that they are missed
-    // where they get lost.
+    // Creates the log file of an empty group, so that its loss is detected
+    // later.
     [[nodiscard]] leaf::result<void> create()
     {
         return write_log(messages::log_frame());
     }
 
-    // Makes the storage part of `ready` durable: one frame, one sync.
+    // Makes the state, entries and snapshot of `ready` durable. Without a
+    // snapshot this is one frame and one sync.
     [[nodiscard]] leaf::result<void> save(const replica_ready& ready)
     {
         messages::log_frame frame;
@@ -121,8 +123,7 @@
         return disk_->sync(log_file_);
     }
 
-    // Makes a snapshot durable and drops the log entries it covers, but for
-    // those in `kept`.
+    // Makes a snapshot durable and replaces the log with `kept`.
     [[nodiscard]] leaf::result<void> save_snapshot(
         const messages::snapshot& content, const messages::log_frame& kept)
     {
@@ -130,7 +131,7 @@
         return write_log(kept);
     }
 
-    // The last durable snapshot; nothing where there is none.
+    // The last durable snapshot; no value if there is none.
     [[nodiscard]] leaf::result<std::optional<messages::snapshot>>
     read_snapshot()
     {
@@ -151,13 +152,13 @@
         return std::optional(std::move(found));
     }
 
-    // Bytes of the log file.
+    // Size of the log file in bytes.
     [[nodiscard]] std::uint64_t log_bytes() const
     {
         return log_bytes_;
     }
 
-    // Bytes of the last snapshot.
+    // Size of the last snapshot in bytes.
     [[nodiscard]] std::uint64_t snapshot_bytes() const
     {
         return snapshot_bytes_;
--- a/nutmegusher/control/host_identity.hpp
+++ b/nutmegusher/control/host_identity.hpp
@@ -1,4 +1,4 @@
-// Who a data folder is: a random number made with the folder.
+// The identity of a data folder: a random number created with the folder.
 #ifndef NUTMEGUSHER_CONTROL_HOST_IDENTITY_HPP
 #define NUTMEGUSHER_CONTROL_HOST_IDENTITY_HPP
 
@@ -15,7 +15,7 @@
 
 inline constexpr std::string_view identity_file = "identity";
 
-// Writes the identity; durable when it returns.
+// Writes the identity, which is durable when this returns.
 template <disk Disk>
 [[nodiscard]] leaf::result<void>
 save_identity(Disk& target, const messages::host_identity& identity)
@@ -25,11 +25,11 @@
     return target.replace(identity_file, bytes);
 }
 
-// Reads the identity, or makes a new one where the folder is empty: an emptied
-// folder never comes back as the voter that it was. Fails with `missing` where
-// only the identity is gone, with `other_host` where another host wrote it,
-// with `bad_checksum` and `bad_content`. Requires: `engine` is seeded by the
-// system's entropy, outside of tests.
+// Reads the identity, or creates a new one if the folder is empty, so that an
+// emptied folder never rejoins as the voter that it was. Fails with `missing`
+// if only the identity file is gone, with `other_host` if another host wrote
+// it, and with `bad_checksum` or `bad_content` if it is damaged. Requires:
+// outside of tests, `engine` is seeded from the system's entropy.
 template <disk Disk>
 [[nodiscard]] leaf::result<messages::host_identity>
 load_identity(Disk& target, const host_id& host, random_engine& engine)
--- a/nutmegusher/control/memory_disk.cpp
+++ b/nutmegusher/control/memory_disk.cpp
@@ -84,7 +84,7 @@
 memory_disk::replace(std::string_view file, std::string_view bytes)
 {
     BOOST_LEAF_CHECK(count_operation(file));
-    // The new file exists beside the old one for a moment.
+    // The new file and the old one exist at the same time until the rename.
     if (capacity_ && used() + bytes.size() > *capacity_)
     {
         return fail(storage_fault::full, file);
--- a/nutmegusher/control/memory_disk.hpp
+++ b/nutmegusher/control/memory_disk.hpp
@@ -1,4 +1,5 @@
-// A disk in memory for tests: it crashes, tears writes and runs full.
+// An in-memory disk for tests that simulates crashes, torn writes and a full
+// disk.
 #ifndef NUTMEGUSHER_CONTROL_MEMORY_DISK_HPP
 #define NUTMEGUSHER_CONTROL_MEMORY_DISK_HPP
 
@@ -13,7 +14,7 @@
 namespace nutmegusher
 {
 
-// Keeps for each file what is written and what of it is durable.
+// Keeps each file's content and how many bytes of it are durable.
 class memory_disk
 {
 public:
@@ -27,15 +28,15 @@
     [[nodiscard]] leaf::result<void>
     truncate(std::string_view file, std::uint64_t size);
 
-    // The host loses power: of what wasn't synced a prefix stays, and some of
-    // its bytes may be wrong. The disk works again afterwards.
+    // Simulates a power loss: of the bytes that weren't synced a random prefix
+    // stays, and some of it may be corrupted. The disk works again afterwards.
     void crash(random_engine& engine);
 
-    // After `count` more writing operations every one fails, as if the host
-    // had lost power there; until `crash` is called.
+    // Lets `count` more writing operations succeed; all later ones fail until
+    // `crash` is called, as if the host had lost power.
     void fail_after(std::uint64_t count);
 
-    // Bytes that fit on the disk; no value: no bound.
+    // Sets the disk's capacity in bytes; no value: unlimited.
     void set_capacity(std::optional<std::uint64_t> bytes);
 
     [[nodiscard]] std::optional<std::uint64_t> capacity() const
@@ -43,7 +44,7 @@
         return capacity_;
     }
 
-    // Empties the disk, as a replaced one.
+    // Deletes all files, as if the disk had been replaced.
     void wipe();
 
     // Direct access for tests that damage or inspect a file.
--- a/nutmegusher/control/storage_error.hpp
+++ b/nutmegusher/control/storage_error.hpp
@@ -1,4 +1,4 @@
-// What can go wrong with the files of a data folder.
+// Errors of reading and writing the files of a data folder.
 #ifndef NUTMEGUSHER_CONTROL_STORAGE_ERROR_HPP
 #define NUTMEGUSHER_CONTROL_STORAGE_ERROR_HPP
 
@@ -14,15 +14,15 @@
     in_use,      // another process holds the folder
     read_failed,
     write_failed,
-    full,         // the disk has no room; nothing was acknowledged
-    sync_failed,  // what is durable isn't known: the process must not go on
+    full,         // the disk is full; nothing was acknowledged
+    sync_failed,  // unknown what is durable: the process must not continue
     bad_checksum, // in the middle of a file: acknowledged data is damaged
-    bad_content,  // the checksum holds, but the content can't be understood
-    missing,      // a file that this folder must hold
+    bad_content,  // the checksum matches, but the content can't be parsed
+    missing,      // a required file doesn't exist
     other_host    // the folder belongs to another host
 };
 
-// A typed failure with where it happened.
+// A storage error and where it happened.
 struct storage_failure
 {
     storage_fault fault;
@@ -30,7 +30,7 @@
     std::string file;
     // Byte position of a damaged record; otherwise 0.
     std::uint64_t offset = 0;
-    // The system's error number; 0 where there is none.
+    // The system's error number (errno); 0 if there is none.
     int code = 0;
 };
 
--- a/nutmegusher/control/storage_test.cpp
+++ b/nutmegusher/control/storage_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view log_file = "group-0/log";
 
-// The failure of an action; nothing where it succeeds.
+// The failure of an action; no value if it succeeds.
 template <class Action>
 std::optional<storage_failure> failure_of(const Action& action)
 {
@@ -29,7 +29,7 @@
         },
         []
         {
-            ADD_FAILURE() << "a failure of another type";
+            ADD_FAILURE() << "unexpected failure type";
             return std::optional<storage_failure>();
         });
 }
@@ -116,8 +116,8 @@
     EXPECT_EQ(failed->offset, offset);
 }
 
-// Power is lost after a received snapshot is written, before the log that it
-// replaces is; what is appended later must not stand behind that old log.
+// Power is lost after a received snapshot was written and before the log that
+// it replaces. Entries that are appended later must not follow the old log.
 TEST(group_storage, drops_a_log_that_a_newer_snapshot_has_replaced)
 {
     memory_disk target;
