--- a/nutmegusher/control/configuration_store.cpp
+++ b/nutmegusher/control/configuration_store.cpp
@@ -43,7 +43,8 @@
            left.path_prefix() == right.path_prefix();
 }
 
-// Does one accepted change to a map or to any other keeper of classes.
+// Applies one accepted change to a container of classes, through its three
+// operations. A change of routes does nothing here.
 template <class Put, class Find, class Remove>
 void apply_accepted_change(
     const messages::accepted_change& accepted,
@@ -186,7 +187,8 @@
                : nutmegusher::revision(known->second.revision());
 }
 
-// Two classes with the same match would leave open which one a request is of.
+// True if another class has the same match: then the class of a request would
+// be ambiguous.
 bool configuration_store::overlaps(const messages::work_class& declared) const
 {
     return std::any_of(
--- a/nutmegusher/control/configuration_store.hpp
+++ b/nutmegusher/control/configuration_store.hpp
@@ -1,4 +1,5 @@
-// The configuration as a state machine: what is declared, and who changed it.
+// The configuration as a replicated state machine: declared classes, routes,
+// and the history of changes.
 #ifndef NUTMEGUSHER_CONTROL_CONFIGURATION_STORE_HPP
 #define NUTMEGUSHER_CONTROL_CONFIGURATION_STORE_HPP
 
@@ -17,33 +18,36 @@
 namespace nutmegusher
 {
 
-// How much a store remembers. All replicas of a group must have the same.
+// Limits of a store. Must be equal on all replicas of a group.
 struct configuration_limits
 {
     std::size_t classes = 10'000;
-    // Accepted changes kept for deltas and `history`: five hours of 18,000 a
-    // day. Who is further behind gets the whole configuration.
+    // Accepted changes kept for deltas and `history`: five hours at 18,000
+    // changes a day. A reader that is further behind is sent the whole
+    // configuration.
     std::size_t history = 4'096;
-    // Answers kept for resends: three and a half days of 18,000 a day.
+    // Results kept for resent changes: three and a half days at 18,000 changes
+    // a day.
     std::size_t remembered = 65'536;
 };
 
-// The bytes of a snapshot can't be understood.
+// Error: the bytes of a snapshot can't be parsed.
 struct bad_configuration_snapshot
 {
 };
 
-// Applies changes one after the other.
+// Applies changes in order.
 //
-// - A change names the revision of its class that the operator saw. Where the
-//   class has moved on the change is a conflict: of two that race one wins.
-// - A change id is answered once: a resend gets the first answer, and other
-//   content under the same id is refused.
+// - A change names the revision of its class that the operator saw. If the
+//   class has changed since, the change is a conflict: of two racing changes
+//   one is accepted.
+// - Changes are idempotent by change id: a resend gets the first result, and
+//   different content under the same id is refused.
 // - Every accepted change raises the revision by one; nothing lowers it.
-// - A document of routes replaces the one before whole. It must name the
-//   present document's version as the one that it builds on, and have a higher
-//   one. Only its acceptance is remembered: a document that came too early may
-//   be sent again.
+// - A route document replaces the previous one as a whole. It must name the
+//   present document's version as its base and have a higher version. Only its
+//   acceptance is recorded: a document that arrived too early may be sent
+//   again.
 //
 //     configuration_store store;
 //     const auto result = store.apply(change);
@@ -57,14 +61,14 @@
 
     messages::change_result apply(const messages::change& change);
 
-    // For `state_machine`. Requires: the entry holds a change.
+    // For the concept `state_machine`. Requires: the entry holds a change.
     messages::change_result apply(const messages::log_entry& entry);
 
-    // What `apply` would answer now, without doing it.
+    // Returns the result that `apply` would return now, and changes nothing.
     [[nodiscard]] messages::change_result
     check(const messages::change& change) const;
 
-    // True where the change id has its answer, which `check` then gives.
+    // True if a result is recorded for the change id; `check` then returns it.
     [[nodiscard]] bool has_result_for(const messages::change& change) const;
 
     [[nodiscard]] nutmegusher::revision revision() const
@@ -72,11 +76,12 @@
         return revision_;
     }
 
-    // All that is in force, by name.
+    // The whole configuration in force; classes are sorted by name.
     [[nodiscard]] messages::configuration present() const;
 
-    // What leads from `from` to the present: the changes, or all of it where
-    // they aren't kept any more. Empty where `from` is the present.
+    // The difference between revision `from` and the present: the changes, or
+    // the whole configuration if they aren't kept any more. Empty if `from` is
+    // the present revision.
     [[nodiscard]] messages::configuration_delta
     delta_since(nutmegusher::revision from) const;
 
@@ -114,23 +119,24 @@
     nutmegusher::revision revision_;
     std::map<std::string, messages::work_class, std::less<>> classes_;
     messages::route_document routes_;
-    // A change of routes stands here without its content.
+    // Changes of routes are kept without the document's content.
     std::deque<messages::accepted_change> history_;
     std::map<std::string, recorded_result, std::less<>> results_;
     std::deque<std::string> result_order_;
 };
 
-// The configuration after `delta`. Requires: `delta` was made for its revision.
+// Updates `target` by `delta`. Requires: `delta` was made for its revision.
 void apply_delta(
     messages::configuration& target,
     const messages::configuration_delta& delta);
 
-// A copy of an accepted change for lists that are kept: of a document of routes
-// only the numbers, as hundreds of whole ones would outweigh all else.
+// A copy of an accepted change for histories. Of a route document it keeps only
+// the version numbers, as hundreds of whole documents would outweigh everything
+// else.
 [[nodiscard]] messages::accepted_change
 without_routes(const messages::accepted_change& accepted);
 
-// Whether one of the delta's changes replaced the routes.
+// True if one of the delta's changes replaced the routes.
 [[nodiscard]] bool replaces_routes(const messages::configuration_delta& delta);
 
 } // namespace nutmegusher
--- a/nutmegusher/control/configuration_store_test.cpp
+++ b/nutmegusher/control/configuration_store_test.cpp
@@ -140,8 +140,8 @@
     EXPECT_EQ(store.delta_since(revision(6)).changes_size(), 0);
 }
 
-// Whatever comes: revisions only rise by one, deltas lead from any revision to
-// the present, a restored store is the same and answers alike.
+// For random changes: revisions rise by one only, deltas lead from any revision
+// to the present, and a restored store is equal and returns the same results.
 RC_GTEST_PROP(configuration_store_fuzz, deltas_and_snapshots_agree, ())
 {
     configuration_store store;
--- a/nutmegusher/control/membership_goal.cpp
+++ b/nutmegusher/control/membership_goal.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// The members with what follows from looking at all of them.
+// Derives from all members which ones are lost, healthy or ready.
 class assessment
 {
 public:
@@ -24,7 +24,8 @@
         return each.silent_for >= goal_.lost_after || is_superseded(each);
     }
 
-    // Silent, and its host is there under another identity.
+    // True if the member is silent and its host is connected under another
+    // identity.
     [[nodiscard]] bool is_superseded(const member_view& each) const
     {
         if (each.silent_for <= duration::zero())
@@ -77,7 +78,7 @@
             });
     }
 
-    // The lost voter that was silent for longest.
+    // The lost voter that has been silent for the longest time.
     [[nodiscard]] const member_view* lost_voter() const
     {
         const member_view* found = nullptr;
--- a/nutmegusher/control/membership_goal_test.cpp
+++ b/nutmegusher/control/membership_goal_test.cpp
@@ -1,4 +1,5 @@
-// The steps of a repair without an operator, from what a leader sees.
+// The membership changes of an automatic repair, derived from the leader's
+// view.
 #include "nutmegusher/control/membership_plan.hpp"
 
 #include <gtest/gtest.h>
@@ -111,11 +112,11 @@
         view[i].silent_for = 5s;
     }
     EXPECT_FALSE(next_membership(goal, view, join_requests))
-        << "two of six answer";
+        << "only two of six voters answer";
 }
 
-// Two disks are lost at once: never fewer than a majority of those that hold
-// what was acknowledged, and five sound voters in the end.
+// Two disks are lost at once. A majority of the voters that hold the
+// acknowledged entries must always remain, with five healthy voters in the end.
 TEST_F(next_membership_test, two_wiped_at_once_are_both_replaced)
 {
     view[0].silent_for = 300ms;
--- a/nutmegusher/control/membership_plan.cpp
+++ b/nutmegusher/control/membership_plan.cpp
@@ -15,7 +15,8 @@
            member.identity() != wanted.added.identity();
 }
 
-// The first old member; voters go before learners.
+// The member to remove: the last voter of the old host, or else its first
+// learner.
 const messages::replica_member*
 find_replaced(const messages::replica_set& present, const replacement& wanted)
 {
@@ -111,7 +112,8 @@
 namespace
 {
 
-// What the leader knows of a member that holds all that is committed.
+// The progress of a member that holds all committed entries; no value if it
+// lacks any.
 std::optional<follower_progress>
 caught_up_progress(const replica& core, replica_id member, time_point now)
 {
--- a/nutmegusher/control/membership_plan.hpp
+++ b/nutmegusher/control/membership_plan.hpp
@@ -1,6 +1,6 @@
-// The steps that replace one control host by another, one membership at a
-// time. Each step is worked out from the present membership alone, so that a
-// repair that was interrupted goes on where it was, at whichever leader.
+// The membership changes that replace one control host by another, one change
+// at a time. Each step is derived from the present membership alone, so that
+// any leader can continue an interrupted repair.
 #ifndef NUTMEGUSHER_CONTROL_MEMBERSHIP_PLAN_HPP
 #define NUTMEGUSHER_CONTROL_MEMBERSHIP_PLAN_HPP
 
@@ -16,77 +16,78 @@
 namespace nutmegusher
 {
 
-// What a repair is to bring about. The two hosts may have one name: a host
-// that lost its disk is replaced by itself under its new identity.
+// The goal of a repair. Both hosts may have the same name: a host that lost its
+// disk is replaced by itself under its new identity.
 struct replacement
 {
     host_id old_host;
-    // With identity, host and address; `voter` isn't looked at.
+    // The new member, with identity, host and address; `voter` is ignored.
     messages::replica_member added;
 };
 
 enum class replacement_step : std::uint8_t
 {
     add_learner,
-    catch_up, // wait: the learner lacks committed entries
+    catch_up, // wait until the learner has all committed entries
     promote,
     remove_old,
     done
 };
 
-// The next step from `present`. `caught_up`: the added member holds all that
-// is committed, as the leader knows it.
+// The next step from the membership `present`. `caught_up`: whether the leader
+// knows that the added member holds all committed entries.
 [[nodiscard]] replacement_step next_step(
     const messages::replica_set& present,
     const replacement& wanted,
     bool caught_up);
 
-// The membership that a step makes; nothing for `catch_up` and `done`.
+// The membership after a step; no value for `catch_up` and `done`.
 [[nodiscard]] std::optional<messages::replica_set> membership_after(
     const messages::replica_set& present,
     const replacement& wanted,
     replacement_step step);
 
-// True where the leader `core` knows the member to hold all that is committed.
+// True if the leader `core` knows that the member holds all committed entries.
 [[nodiscard]] bool
 is_caught_up(const replica& core, replica_id member, time_point now);
 
-// The same, and it would take leadership over.
+// True if, in addition, the member doesn't decline leadership.
 [[nodiscard]] bool
 can_take_leadership(const replica& core, replica_id member, time_point now);
 
-// One member as the leader sees it now.
+// One member as the leader sees it at present.
 struct member_view
 {
     messages::replica_member member;
-    // How long nothing was heard of it; zero for the leader itself.
+    // Time since the last contact with it; zero for the leader itself.
     duration silent_for{0};
-    // Holds all that is committed.
+    // True if it holds all committed entries.
     bool caught_up = false;
 };
 
-// How many voters there should be, and when one counts as lost.
+// The desired number of voters, and when a voter counts as lost.
 struct voter_goal
 {
-    // Twice the losses to be borne at once, plus one.
+    // Twice the number of simultaneous losses to tolerate, plus one.
     std::size_t voters = 0;
-    // Above what a freeze of the scheduler, an election and a repeated packet
-    // take together; far below the time until a second loss.
+    // Longer than a scheduler stall, an election and a retransmission together;
+    // far shorter than the expected time until a second loss.
     duration lost_after = std::chrono::seconds(2);
 };
 
-// The membership that brings the group nearer to the goal, one change at a
-// time; nothing where there is none to make. `join_requests` are hosts that
-// want to be voters.
+// Returns the next membership on the way to the goal, which differs by one
+// change; no value if no change is needed or safe. `join_requests` are hosts
+// that want to be voters.
 //
-// Without it each lost disk needs an operator before the next loss, and two
-// of them leave five voters with no majority after a third.
+// Without these automatic repairs, an operator has to replace each lost disk
+// before the next loss; two unrepaired losses leave five voters without a
+// majority after a third.
 //
-// - A lost voter is removed only when its successor votes, and only where the
-//   voters that answer are a majority without it: so a partition removes
+// - A lost voter is removed only when its successor is a voter, and only if the
+//   responding voters are a majority without it, so a network partition removes
 //   nobody.
-// - A voter whose host has come back under a new identity is lost for good.
-// - A host beyond the goal stays a learner until a voter is lost.
+// - A voter whose host has rejoined under a new identity is lost permanently.
+// - A host beyond the desired number stays a learner until a voter is lost.
 [[nodiscard]] std::optional<messages::replica_set> next_membership(
     const voter_goal& goal,
     std::span<const member_view> present,
--- a/nutmegusher/control/route_check.hpp
+++ b/nutmegusher/control/route_check.hpp
@@ -1,4 +1,4 @@
-// What makes a document of routes acceptable on its own.
+// Validates a route document by itself.
 #ifndef NUTMEGUSHER_CONTROL_ROUTE_CHECK_HPP
 #define NUTMEGUSHER_CONTROL_ROUTE_CHECK_HPP
 
@@ -10,11 +10,11 @@
 namespace nutmegusher
 {
 
-// Nothing where the document is well formed: every route has a host, a prefix
-// between slashes that no other route of its host has, a deadline, at least
-// one try, and destinations that the document declares, with weights that
-// aren't negative and not all zero. Whether it follows the present document is
-// for `configuration_store`.
+// Returns the first problem; no value if the document is well formed: every
+// route has a host, a prefix between slashes that no other route of its host
+// has, a deadline, at least one try, and destinations that the document
+// declares, with weights that aren't negative and not all zero. Whether it
+// follows the present document is checked by `configuration_store`.
 [[nodiscard]] std::optional<configuration_problem>
 check_routes(const messages::route_document& document);
 
--- a/nutmegusher/control/route_document_test.cpp
+++ b/nutmegusher/control/route_document_test.cpp
@@ -1,4 +1,4 @@
-// Documents of routes: what is refused, and which of several holds.
+// Route documents: which are refused, and which of several is in force.
 #include "nutmegusher/control/control.hpp"
 
 #include <gtest/gtest.h>
@@ -148,8 +148,8 @@
     EXPECT_EQ(result.problem(), messages::problem_old_version);
 }
 
-// Orders overtake each other: one that builds on a version which isn't there
-// yet is refused, and accepted when it comes again.
+// Documents may arrive out of order: one whose base version isn't present yet
+// is refused, and accepted when it is sent again.
 TEST(route_documents, one_that_came_too_early_may_come_again)
 {
     configuration_store store;
