--- a/nutmegusher/control/catch_up_test.cpp
+++ b/nutmegusher/control/catch_up_test.cpp
@@ -1,18 +1,13 @@
-// A control host whose disk was lost came back and never caught up. The leader
-// sent it all that it lacked at once, as a follower might have 4,096 entries on
-// the way, of whatever size. On a line of 86 Mbit/s ten megabytes took longer
-// than a batch may; the batch was dropped whole and sent again after ten
-// seconds, then after twenty. Between two floods one probe got through, with
-// two entries:
+// A control host that lost its disk must catch up and become a voter again.
 //
-//     34.72 s  control_change_accepted revision=2
-//     45.35 s  control_change_accepted revision=3
-//     46.33 s  control_change_accepted revision=5   (the others: revision=92)
-//
-// and while 5.9 MB/s arrived there, memory stayed at 11 MB. It remained a
-// learner for the rest of the day, so its old identity kept counting as a
-// voter. The second loss made two of five, and after the next one no majority
-// was left: "no leader", and nobody was served.
+// Data in flight to one follower used to be limited to 4,096 entries of any
+// size, so the leader sent such a host everything that it lacked at once. On a
+// link of 86 Mbit/s, 10 MB took longer than the time limit of a batch. The
+// batch was dropped as a whole and sent again after ten seconds, then after
+// twenty; in between, only one probe with two entries arrived. The host
+// received 5.9 MB/s but stayed a learner, at revision 5 while the others had
+// reached 92, so its old identity kept counting as a voter. After a second loss
+// two of five voters were gone, and after the next one there was no majority.
 #include "nutmegusher/control/test_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -26,16 +21,17 @@
 
 using std::chrono::seconds;
 
-// A document of 300 routes with the operator's own bytes.
+// Size of a document of 300 routes that includes the operator's original text.
 constexpr std::size_t document_bytes = 165'000;
 constexpr std::size_t documents = 120;
-// 86 Mbit/s, of which daemons take a half.
+// 86 Mbit/s, half of which is used by daemons.
 constexpr double link_bytes_per_second = 5'400'000;
-// What an operator may expect of a repair: above the time that the log's bytes
-// take on the line, far below the time between two losses.
+// Time limit of a repair: longer than the log's bytes take on the link, far
+// shorter than the time between two losses.
 constexpr seconds repair_limit{10};
 
-// With the snapshots that are usual, and with none: then each document is sent.
+// The parameter: with the usual snapshots, or without any, so that each
+// document is sent as an entry.
 class wiped_host : public testing::TestWithParam<bool>
 {
 protected:
@@ -84,7 +80,8 @@
         ASSERT_TRUE(hosts.hosts[number].start());
     }
 
-    // Until nothing is left to repair; false at the limit.
+    // Runs repair steps until nothing is left to repair; false if the limit
+    // passed.
     bool repaired(duration limit)
     {
         return hosts.run_until(
@@ -110,7 +107,7 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// The others go on changing the configuration meanwhile.
+// New documents keep arriving during the repair.
 TEST_P(wiped_host, votes_again_soon_while_documents_follow)
 {
     install(documents);
@@ -125,8 +122,9 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// Two disks are lost one after the other, with time for a repair between them,
-// then all lose power and two of those that are left their disks as well.
+// Two disks are lost one after the other, with time for a repair after each.
+// Then all hosts lose power, and two of the remaining hosts lose their disks as
+// well.
 TEST_P(wiped_host, a_majority_outlives_two_more_losses_after_two_repairs)
 {
     install(documents);
--- a/nutmegusher/control/replica_fuzz_test.cpp
+++ b/nutmegusher/control/replica_fuzz_test.cpp
@@ -1,8 +1,8 @@
-// Stateful fuzzing of three and five replicas. The oracle sits in the cluster:
-// what is committed at an index never differs or gets lost, a term has one
-// leader, a read sees all that was acknowledged before it began. After the
-// faults have ended the group must accept again, and must still hold all that
-// it ever acknowledged.
+// Stateful fuzzing of three and five replicas. The cluster is the oracle: the
+// entry committed at an index never changes or gets lost, a term has one
+// leader, and a read sees everything that was acknowledged before it began.
+// After the faults have ended the group must accept again and still hold
+// everything that it ever acknowledged.
 #include "nutmegusher/control/test_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace
 {
 
-// The model is empty: the oracle looks at the replicas themselves.
+// The model is empty: the oracle inspects the replicas themselves.
 struct no_model
 {
 };
@@ -26,7 +26,7 @@
     return hosts.hosts[number % hosts.hosts.size()];
 }
 
-// What every action shares: do it, then ask the oracle.
+// Performs an action, then checks the oracle.
 class checked_action : public action
 {
 public:
@@ -40,7 +40,7 @@
     virtual void perform(cluster& hosts) const = 0;
 };
 
-// An action at one host, with a number whose meaning is the action's.
+// An action at one host. The meaning of `amount` depends on the action.
 class host_action : public checked_action
 {
 public:
@@ -254,8 +254,8 @@
     }
 };
 
-// At most a minority's disks are gone at once; then the repair command runs
-// step by step, with all the other faults in between.
+// Loses a disk, as long as at most a minority of the disks is lost at once. The
+// repair command then runs step by step, interleaved with all other faults.
 struct replace_disk : host_action
 {
     void perform(cluster& hosts) const override
@@ -347,8 +347,9 @@
 {
     cluster hosts(
         size, *rc::gen::arbitrary<std::uint64_t>(), snapshot_policy{6, 0.0, 3});
-    // A founder that loses its disk before anyone else has the group leaves
-    // none: nothing was accepted, and the operators found it anew.
+    // Before any other host has joined, losing the bootstrap host's disk loses
+    // the group. Nothing was accepted by then, and operators would bootstrap it
+    // again.
     must_accept_again(hosts);
     rc::state::check(
         no_model(),
--- a/nutmegusher/control/replica_rules_test.cpp
+++ b/nutmegusher/control/replica_rules_test.cpp
@@ -1,4 +1,4 @@
-// Rules that chance seldom breaks, one replica at a time.
+// Raft rules that random tests seldom exercise, on a single replica.
 #include "nutmegusher/control/control.hpp"
 
 #include <gtest/gtest.h>
@@ -24,8 +24,8 @@
     return members;
 }
 
-// Replica 1 of three, with an uncommitted entry of term 2 at index 2, which
-// has won the election of term 3.
+// Replica 1 of three. It has an uncommitted entry of term 2 at index 2 and has
+// won the election of term 3.
 class elected_replica : public testing::Test
 {
 protected:
@@ -63,7 +63,7 @@
         core->step(message, now);
     }
 
-    // Member 2 says that it holds all up to `index`.
+    // Member 2 acknowledges all entries up to `index`.
     void acknowledge(log_index index)
     {
         messages::replica_message message;
@@ -76,8 +76,8 @@
         core->step(message, now);
     }
 
-    // A member hasn't got what stands before an append; its log ends at
-    // `index`.
+    // A member rejects an append because it lacks the previous entry; its log
+    // ends at `index`.
     void reject(log_index index, std::uint64_t member = 2)
     {
         messages::replica_message message;
@@ -95,7 +95,7 @@
         static_cast<void>(entries_to_second());
     }
 
-    // Saves, and counts the messages with entries that leave for member 2.
+    // Saves, and counts the messages with entries that are sent to member 2.
     std::size_t entries_to_second()
     {
         std::size_t count = 0;
@@ -112,7 +112,7 @@
         return count;
     }
 
-    // Saves, and counts the messages for member 2 that carry the entry.
+    // Saves, and counts the messages to member 2 that contain the entry.
     std::size_t messages_with(log_index index)
     {
         std::size_t count = 0;
@@ -132,7 +132,8 @@
         return count;
     }
 
-    // Saves; the bytes of entries that leave for member 2, and the last index.
+    // Saves, and returns the size of the messages with entries to member 2 and
+    // the last index that they contain.
     std::pair<std::size_t, log_index> sent_to_second()
     {
         std::pair<std::size_t, log_index> sent{0, 0};
@@ -152,7 +153,7 @@
         return sent;
     }
 
-    // Saves, and counts the snapshots that leave for member 3.
+    // Saves, and counts the snapshots that are sent to member 3.
     std::size_t snapshots_to_third()
     {
         std::size_t count = 0;
@@ -168,7 +169,9 @@
         return count;
     }
 
-    // A heartbeat that overtakes the entries before it, `times` in a row.
+    // Simulates `times` heartbeats in a row that overtake the entries before
+    // them, so that member 2 rejects them; `last` is the end of its log. Counts
+    // the messages with entries.
     std::size_t entries_while_overtaken(int times, log_index last)
     {
         std::size_t count = 0;
@@ -221,7 +224,7 @@
     }
 
     time_point now = start + std::chrono::seconds(10);
-    // Of the last heartbeat that has left.
+    // The round of the last heartbeat that was sent.
     std::uint64_t round = 0;
     random_engine engine;
     std::optional<replica> core;
@@ -274,9 +277,9 @@
     EXPECT_EQ(refusal_of(members), replica_refusal::too_many_changes);
 }
 
-// A large entry takes longer than a heartbeat on a line of 86 Mbit/s that four
-// followers share. Sent again at each heartbeat it fills the line, no majority
-// answers in time, and the next leader does the same.
+// On a link of 86 Mbit/s shared by four followers, a large entry takes longer
+// than a heartbeat. If it is sent again at each heartbeat it fills the link, no
+// majority answers in time, and the next leader does the same.
 TEST_F(elected_replica, sends_a_large_entry_once_while_it_may_be_on_its_way)
 {
     save();
@@ -290,7 +293,7 @@
 
 TEST_F(elected_replica, sends_a_large_entry_once_while_probing)
 {
-    // Member 2 has nothing of what this leader took over.
+    // Member 2 lacks the entry that this leader held before its election.
     save();
     reject(1);
     EXPECT_EQ(entries_while_overtaken(1, 1), 1U);
@@ -298,8 +301,8 @@
     EXPECT_LE(entries_while_overtaken(8, 1), 2U);
 }
 
-// New entries each 20 ms must not put off what the loss of earlier ones asks
-// for: the follower takes none of them before it has those.
+// New entries every 20 ms must not postpone the resend of lost ones: the
+// follower accepts no later entry before it has those.
 TEST_F(elected_replica, sends_lost_entries_again_while_others_follow)
 {
     save();
@@ -319,13 +322,14 @@
     EXPECT_LE(with_first, 10U);
 }
 
-// A follower that lacks many large entries has as much of them on the way as
-// its line carries in a moment; the rest follows as it answers.
+// A follower that lacks many large entries is sent only what its link carries
+// in a short time; the rest follows as it answers.
 TEST_F(elected_replica, bounds_the_bytes_in_flight_to_one_follower)
 {
     save();
     acknowledge(3);
-    // What a line of the least speed carries in a second, and one entry more.
+    // What a link of the lowest assumed speed carries in a second, and one
+    // entry.
     constexpr std::size_t most = 1'000'000 + large_bytes;
     log_index held = 3;
     for (int i = 0; i < 40; ++i)
@@ -342,8 +346,8 @@
     }
 }
 
-// A second copy of a snapshot on a line that still carries the first one takes
-// the time from both.
+// A second copy of a snapshot, sent while the first one is in flight, slows
+// both down.
 TEST_F(elected_replica, sends_a_large_snapshot_once_while_it_may_be_on_its_way)
 {
     save();
@@ -361,7 +365,7 @@
     core->compact(3);
     reject(1, 3);
     std::size_t snapshots = 0;
-    // 1 MB/s is the least that a line carries.
+    // 1 MB/s is the lowest assumed link speed.
     for (int i = 0; i < 160; ++i)
     {
         now += replica_timing().heartbeat;
--- a/nutmegusher/control/replica_test.cpp
+++ b/nutmegusher/control/replica_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint64_t seed = 20261202;
 
-// Proposes at whoever leads until it is acknowledged.
+// Proposes the item at the leader and waits until it is acknowledged.
 void accept(cluster& hosts, const std::string& item)
 {
     ASSERT_TRUE(hosts.run_until(
@@ -174,7 +174,8 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// All restart at once after many changes; with snapshots little is replayed.
+// Restarts all hosts at once after many changes. `snapshots`: whether a
+// snapshot covers most of them, so that few entries are replayed.
 void restart_after_many(const snapshot_policy& policy, bool snapshots)
 {
     cluster hosts(3, seed, policy);
@@ -203,8 +204,9 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// Hosts that lost power are back one after the other. Waiting for a leader that
-// none of them has heard of yet would keep all daemons without a configuration.
+// After a power loss, hosts restart one after the other. If they waited a full
+// election timeout for a leader, no daemon would have a configuration
+// meanwhile.
 TEST(replica, hosts_that_start_again_elect_soon)
 {
     using namespace std::chrono_literals;
@@ -290,8 +292,8 @@
 {
     cluster hosts(3, seed);
     accept(hosts, "kept");
-    // The only host that is left of those that hold the item, and two empty
-    // ones: no majority, so nothing may be accepted.
+    // One host that holds the item and two with empty disks: there is no
+    // majority, so nothing may be accepted.
     auto& left = *hosts.leader();
     for (auto& each : hosts.hosts)
     {
--- a/nutmegusher/control/test_cluster.cpp
+++ b/nutmegusher/control/test_cluster.cpp
@@ -200,7 +200,7 @@
         auto& added = add_host("h" + std::to_string(i + 1));
         if (!added.start())
         {
-            fail("a host doesn't start on an empty disk");
+            fail("a host failed to start on an empty disk");
         }
     }
     auto& first_host = hosts.front();
@@ -218,7 +218,7 @@
         });
     if (!bootstrapped || !first_host.start())
     {
-        fail("the group can't be founded");
+        fail("the group failed to bootstrap");
     }
 }
 
@@ -530,8 +530,8 @@
     if (!added && known->second != text)
     {
         fail(
-            at.name() + " applied " + text + " where " + known->second +
-            " was committed");
+            at.name() + " applied " + text + ", but " + known->second +
+            " was committed at that index");
     }
     if (added)
     {
@@ -552,7 +552,8 @@
     acknowledged_at_.emplace_back(now, std::max(before, count));
 }
 
-// What a host claims to know up to a moment it must have.
+// A host must hold every item that was acknowledged before its
+// `known_current_at`.
 void cluster::check_freshness(const host& at)
 {
     if (!at.up())
@@ -571,7 +572,9 @@
         later == acknowledged_at_.begin() ? 0 : std::prev(later)->second;
     if (at.running().machine().items().size() < count)
     {
-        fail(at.name() + " claims to be current and lacks an item");
+        fail(
+            at.name() +
+            " lacks an item acknowledged before its known_current_at");
     }
 }
 
@@ -603,7 +606,7 @@
     if (running.applied() < read.index ||
         running.machine().items().size() < known)
     {
-        fail(at.name() + " answered a read with an older state");
+        fail(at.name() + " answered a read from a stale state");
     }
 }
 
--- a/nutmegusher/control/test_cluster.hpp
+++ b/nutmegusher/control/test_cluster.hpp
@@ -1,6 +1,6 @@
-// A few replicas with disks in memory and a network that loses, repeats,
-// delays and reorders, for tests. Holds what must never happen against the
-// replicas' own view after each step.
+// A simulated cluster for tests: replicas with in-memory disks and a network
+// that loses, duplicates, delays and reorders messages. Checks Raft's safety
+// properties after each step.
 #ifndef NUTMEGUSHER_CONTROL_TEST_CLUSTER_HPP
 #define NUTMEGUSHER_CONTROL_TEST_CLUSTER_HPP
 
@@ -19,7 +19,7 @@
 namespace nutmegusher::control_test
 {
 
-// A machine that keeps all it has applied.
+// A state machine that keeps every applied item.
 class journal
 {
 public:
@@ -42,23 +42,24 @@
 
 class cluster;
 
-// One host: its disk outlives the group, which a crash destroys.
+// One host. A crash destroys its group; its disk stays.
 class host
 {
 public:
     host(cluster& owner, std::string name);
 
-    // Opens the group from the disk; false where the storage refuses.
+    // Opens the group from the disk; false if the storage fails.
     bool start();
-    // Power is lost: what isn't synced may be gone.
+    // Simulates a power loss: data that isn't synced may be lost.
     void crash();
-    // The disk is replaced by an empty one, under a new identity.
+    // Crashes and replaces the disk by an empty one; the next start creates a
+    // new identity.
     void replace_disk();
-    // Runs what is due; a storage failure stops the host.
+    // Processes all pending work; a storage failure stops the host.
     void process_ready();
     void tick();
 
-    // For `replicated_group`.
+    // The concept `group_listener`, for `replicated_group`.
     void send(const messages::replica_message& message);
     void applied(const messages::log_entry& entry, const std::string& item);
     void members_changed(const messages::replica_set& members);
@@ -98,12 +99,14 @@
     }
 
     memory_disk disk;
-    // Added to the cluster's time; jumps forward only.
+    // Added to the cluster's time; only ever increases.
     duration clock_offset{0};
-    // Frozen: neither ticks nor receives; messages wait.
+    // If true, the host is suspended: it neither ticks nor receives, and its
+    // messages are delivered later.
     bool frozen = false;
 
-    // Reads begun here: how much was acknowledged by then.
+    // Pending reads, each with the number of committed items up to the last one
+    // that was acknowledged when the read began.
     std::map<read_ticket, std::size_t> open_reads;
     std::size_t reads_done = 0;
     std::size_t reads_failed_count = 0;
@@ -115,7 +118,7 @@
     std::unique_ptr<group> group_;
 };
 
-// How the network treats each message.
+// Faults that the network applies to each message.
 struct network_faults
 {
     std::uint32_t loss_percent = 0;
@@ -123,15 +126,15 @@
     duration max_delay = std::chrono::milliseconds(1);
 };
 
-// The line from one host to another, as `control_peers` uses it: what leaves
-// in one moment travels as batches, and a batch that takes too long is lost
-// whole.
+// Models the link from one host to another as `control_peers` uses it: messages
+// sent at the same time travel in batches, and a batch whose transfer takes too
+// long is lost as a whole.
 struct network_link
 {
     double bytes_per_second = 0;
     std::size_t batch_bytes = 8 * 1024 * 1024;
     duration max_transfer_time = std::chrono::seconds(1);
-    // Set: only what goes to this host.
+    // If set, only messages to this host use the link.
     std::string only_to_host = {};
 };
 
@@ -140,9 +143,9 @@
 public:
     cluster(std::size_t size, std::uint64_t seed, snapshot_policy policy = {});
 
-    // Time passes in steps of a millisecond, with ticks and deliveries.
+    // Advances time in steps of a millisecond, with ticks and deliveries.
     void run(duration length);
-    // Runs until `done` or the bound; true where it was done.
+    // Runs until `done()` or the time limit; returns `done()`.
     template <class Condition>
     bool
     run_until(const Condition& done, duration bound = std::chrono::seconds(30))
@@ -158,29 +161,31 @@
         return done();
     }
 
-    // A leader whose term is the highest; none where there is none.
+    // The leader with the highest term; null if there is none.
     [[nodiscard]] host* leader();
     [[nodiscard]] host* find(replica_id id);
     host& add_host(const std::string& name);
 
-    // Proposes an item at a host, in an entry of at least so many bytes; false
-    // where it refuses.
+    // Proposes an item at a host, in an entry of at least `entry_bytes`; false
+    // if the host refuses it.
     bool
     propose(host& at, const std::string& item, std::size_t entry_bytes = 0);
     bool read(host& at);
-    // False where the host refuses it now.
+    // False if the host refuses the change.
     bool propose_membership(host& at, const messages::replica_set& members);
-    // One step of the repair command: replaces a voter whose disk is gone by
-    // the host that has its name now. True where nothing is left to do.
+    // Executes one step of the repair command, which replaces a voter whose
+    // disk is lost by the host that now has its name. True if nothing is left
+    // to repair.
     bool repair(host& at);
-    // Voters of the present or a proposed membership whose disk is gone.
+    // Number of voters of the present or a proposed membership whose disk is
+    // lost.
     [[nodiscard]] std::size_t lost_voters();
 
-    // Messages between the two sides are lost until `heal`.
+    // Drops all messages between `side` and the other hosts until `heal`.
     void partition(const std::set<std::string>& side);
     void heal();
 
-    // The first thing that should never happen; empty: nothing did.
+    // Description of the first safety violation; empty if there is none.
     [[nodiscard]] const std::string& violation() const
     {
         return violation_;
@@ -196,13 +201,13 @@
         return acknowledged_.size();
     }
 
-    // How many committed items there are up to the last acknowledged one.
+    // Number of committed items up to the last acknowledged one.
     [[nodiscard]] std::size_t acknowledged_items() const
     {
         return acknowledged_at_.empty() ? 0 : acknowledged_at_.back().second;
     }
 
-    // True where the host's state has every acknowledged item.
+    // True if the host's state contains every acknowledged item.
     [[nodiscard]] bool holds_all_acknowledged(host& at) const;
 
     [[nodiscard]] messages::replica_set all_voters() const;
@@ -212,7 +217,8 @@
     random_engine engine;
     std::deque<host> hosts;
     network_faults faults;
-    // Set: messages also take the time that their bytes take.
+    // If set, messages travel over links of limited bandwidth; of `faults` only
+    // the loss applies to them.
     std::optional<network_link> link;
     snapshot_policy policy;
     replica_timing timing;
@@ -240,7 +246,7 @@
     void check_restored(const host& at, const std::vector<std::string>& items);
     void fail(const std::string& what);
 
-    // What waits for a line, and until when the line is taken.
+    // Messages waiting for a link, and when the link is free again.
     struct link_state
     {
         std::vector<envelope> waiting;
@@ -250,22 +256,23 @@
     std::multimap<time_point, envelope> network_;
     std::map<std::pair<std::string, std::string>, link_state> links_;
     std::set<std::string> partitioned_;
-    // What stands at each committed index; the first host to apply decides.
+    // Term and item at each committed index, as the first host applied it.
     std::map<log_index, std::string> committed_;
-    // Committed items in order, for what a snapshot must hold.
+    // Committed items in log order; every state must be a prefix of them.
     std::vector<std::string> committed_items_;
     std::map<log_term, replica_id> leaders_;
-    // The latest membership that anyone has applied, and its index.
+    // The latest membership that any host has applied, and its index.
     messages::replica_set members_;
     log_index members_index_ = 0;
-    // Proposed since then.
+    // Memberships proposed since then.
     std::vector<messages::replica_set> pending_members_;
-    // Proposed here: index -> (term, item), per proposer.
+    // Proposals that aren't acknowledged yet: index -> (term, item), per
+    // proposing host.
     std::map<std::string, std::map<log_index, std::pair<log_term, std::string>>>
         pending_proposals_;
     std::set<std::string> acknowledged_;
-    // When something was acknowledged, and how many committed items there were
-    // up to it; rising in both.
+    // Times of acknowledgements, each with the number of committed items up to
+    // the latest acknowledged one; increasing in both fields.
     std::vector<std::pair<time_point, std::size_t>> acknowledged_at_;
     std::string violation_;
 };
