--- a/nutmegusher/control/catch_up_test.cpp
+++ b/nutmegusher/control/catch_up_test.cpp
@@ -23,7 +23,7 @@
 
 // Size of a document of 300 routes that includes the operator's original text.
 constexpr std::size_t document_bytes = 165'000;
-constexpr std::size_t documents = 120;
+constexpr std::size_t document_count = 120;
 // 86 Mbit/s, half of which is used by daemons.
 constexpr double link_bytes_per_second = 5'400'000;
 // Time limit of a repair: longer than the log's bytes take on the link, far
@@ -82,7 +82,7 @@
 
     // Runs repair steps until nothing is left to repair; false if the limit
     // passed.
-    bool repaired(duration limit)
+    bool repair_until_done(duration limit)
     {
         return hosts.run_until(
             [this]
@@ -100,25 +100,25 @@
 
 TEST_P(wiped_host, votes_again_soon_behind_a_long_log_and_a_slow_line)
 {
-    install(documents);
+    install(document_count);
     hosts.link = network_link{link_bytes_per_second};
     wipe_disk(0);
-    EXPECT_TRUE(repaired(repair_limit));
+    EXPECT_TRUE(repair_until_done(repair_limit));
     EXPECT_EQ(hosts.violation(), "");
 }
 
 // New documents keep arriving during the repair.
 TEST_P(wiped_host, votes_again_soon_while_documents_follow)
 {
-    install(documents);
+    install(document_count);
     hosts.link = network_link{link_bytes_per_second};
     wipe_disk(0);
     for (int change = 0; change < 20; ++change)
     {
         install(1);
-        static_cast<void>(repaired(std::chrono::milliseconds(200)));
+        static_cast<void>(repair_until_done(std::chrono::milliseconds(200)));
     }
-    EXPECT_TRUE(repaired(repair_limit));
+    EXPECT_TRUE(repair_until_done(repair_limit));
     EXPECT_EQ(hosts.violation(), "");
 }
 
@@ -127,12 +127,12 @@
 // well.
 TEST_P(wiped_host, a_majority_outlives_two_more_losses_after_two_repairs)
 {
-    install(documents);
+    install(document_count);
     hosts.link = network_link{link_bytes_per_second};
     for (const std::size_t lost : {0, 1})
     {
         wipe_disk(lost);
-        static_cast<void>(repaired(repair_limit));
+        static_cast<void>(repair_until_done(repair_limit));
     }
     for (auto& each : hosts.hosts)
     {
--- a/nutmegusher/control/configuration_store.cpp
+++ b/nutmegusher/control/configuration_store.cpp
@@ -61,10 +61,10 @@
     }
     else if (change.has_set_target())
     {
-        if (auto* known = find(change.set_target().class_name()))
+        if (auto* existing = find(change.set_target().class_name()))
         {
-            *known->mutable_target() = change.set_target().target();
-            known->set_revision(accepted.revision());
+            *existing->mutable_target() = change.set_target().target();
+            existing->set_revision(accepted.revision());
         }
     }
     else if (!change.has_install_routes())
@@ -116,16 +116,16 @@
 messages::change_result
 configuration_store::check(const messages::change& change) const
 {
-    const auto known = results_.find(change.change_id());
-    if (known == results_.end())
+    const auto existing = results_.find(change.change_id());
+    if (existing == results_.end())
     {
         return validate(change);
     }
-    if (known->second.digest != digest_of(change))
+    if (existing->second.digest != digest_of(change))
     {
         return refused(messages::change_id_reused, revision_);
     }
-    return known->second.answer;
+    return existing->second.answer;
 }
 
 messages::change_result
@@ -181,10 +181,10 @@
 nutmegusher::revision
 configuration_store::class_revision(std::string_view name) const
 {
-    const auto known = classes_.find(name);
-    return known == classes_.end()
+    const auto existing = classes_.find(name);
+    return existing == classes_.end()
                ? nutmegusher::revision()
-               : nutmegusher::revision(known->second.revision());
+               : nutmegusher::revision(existing->second.revision());
 }
 
 // True if another class has the same match: then the class of a request would
@@ -194,10 +194,10 @@
     return std::any_of(
         classes_.begin(),
         classes_.end(),
-        [&declared](const auto& known)
+        [&declared](const auto& existing)
         {
-            return known.first != declared.name() &&
-                   same_match(known.second, declared);
+            return existing.first != declared.name() &&
+                   same_match(existing.second, declared);
         });
 }
 
@@ -216,8 +216,8 @@
         },
         [this](const std::string& name)
         {
-            const auto known = classes_.find(name);
-            return known == classes_.end() ? nullptr : &known->second;
+            const auto existing = classes_.find(name);
+            return existing == classes_.end() ? nullptr : &existing->second;
         },
         [this](const std::string& name)
         {
@@ -298,11 +298,11 @@
     }
     for (const auto& id : result_order_)
     {
-        const auto& known = results_.at(id);
+        const auto& existing = results_.at(id);
         auto& kept = *state.add_remembered();
         kept.set_change_id(id);
-        kept.set_digest(known.digest);
-        *kept.mutable_answer() = known.answer;
+        kept.set_digest(existing.digest);
+        *kept.mutable_answer() = existing.answer;
     }
     return state.SerializeAsString();
 }
@@ -346,14 +346,14 @@
     auto& classes = *target.mutable_classes();
     const auto find = [&classes](const std::string& name)
     {
-        const auto known = std::find_if(
+        const auto existing = std::find_if(
             classes.begin(),
             classes.end(),
             [&name](const auto& declared)
             {
                 return declared.name() == name;
             });
-        return known == classes.end() ? nullptr : &*known;
+        return existing == classes.end() ? nullptr : &*existing;
     };
     for (const auto& accepted : delta.changes())
     {
@@ -361,8 +361,8 @@
             accepted,
             [&](messages::work_class declared)
             {
-                auto* known = find(declared.name());
-                auto* place = known == nullptr ? classes.Add() : known;
+                auto* existing = find(declared.name());
+                auto* place = existing == nullptr ? classes.Add() : existing;
                 *place = std::move(declared);
             },
             find,
--- a/nutmegusher/control/file_disk.cpp
+++ b/nutmegusher/control/file_disk.cpp
@@ -147,10 +147,10 @@
 
 leaf::result<int> file_disk::open_for_append(std::string_view file)
 {
-    const auto known = open_.find(file);
-    if (known != open_.end())
+    const auto existing = open_.find(file);
+    if (existing != open_.end())
     {
-        return known->second.get();
+        return existing->second.get();
     }
     BOOST_LEAF_CHECK(create_parent(file));
     const auto path = folder_ / file;
@@ -211,10 +211,10 @@
     }
     // The open descriptor refers to the replaced file, which has no name any
     // more.
-    const auto known = open_.find(file);
-    if (known != open_.end())
+    const auto existing = open_.find(file);
+    if (existing != open_.end())
     {
-        open_.erase(known);
+        open_.erase(existing);
     }
     return sync_parent(file);
 }
--- a/nutmegusher/control/freshness_tracker.hpp
+++ b/nutmegusher/control/freshness_tracker.hpp
@@ -19,10 +19,10 @@
 // however long the message was in flight. The proof holds for the follower once
 // it has applied that commit index.
 //
-//     freshness_tracker known;
-//     known.add_proof(commit, last_reply_at - proof_age);
-//     known.applied(index);
-//     now - known.as_of()                         // its age at most
+//     freshness_tracker tracker;
+//     tracker.add_proof(commit, last_reply_at - proof_age);
+//     tracker.applied(index);
+//     now - tracker.as_of()                         // its age at most
 //
 // An open connection, a known leader, or a heartbeat from a leader that has
 // lost its majority doesn't advance `as_of`.
--- a/nutmegusher/control/freshness_tracker_test.cpp
+++ b/nutmegusher/control/freshness_tracker_test.cpp
@@ -16,39 +16,39 @@
 
 TEST(freshness_tracker, counts_once_the_commit_is_applied)
 {
-    freshness_tracker known;
-    known.add_proof(3, start);
-    known.add_proof(5, start + seconds(1));
-    EXPECT_EQ(known.as_of(), time_point());
-    known.applied(4);
-    EXPECT_EQ(known.as_of(), start);
-    known.applied(5);
-    EXPECT_EQ(known.as_of(), start + seconds(1));
+    freshness_tracker tracker;
+    tracker.add_proof(3, start);
+    tracker.add_proof(5, start + seconds(1));
+    EXPECT_EQ(tracker.as_of(), time_point());
+    tracker.applied(4);
+    EXPECT_EQ(tracker.as_of(), start);
+    tracker.applied(5);
+    EXPECT_EQ(tracker.as_of(), start + seconds(1));
 }
 
 TEST(freshness_tracker, never_goes_back)
 {
-    freshness_tracker known;
-    known.applied(5);
-    known.add_proof(5, start + seconds(1));
-    known.add_proof(4, start);
-    EXPECT_EQ(known.as_of(), start + seconds(1));
+    freshness_tracker tracker;
+    tracker.applied(5);
+    tracker.add_proof(5, start + seconds(1));
+    tracker.add_proof(4, start);
+    EXPECT_EQ(tracker.as_of(), start + seconds(1));
 }
 
 // While thousands of entries arrive, the first proofs must be kept: they are
 // reached first.
 TEST(freshness_tracker, moves_on_during_a_long_catch_up)
 {
-    freshness_tracker known;
+    freshness_tracker tracker;
     for (log_index commit = 1; commit <= 1000; ++commit)
     {
-        known.add_proof(commit, start + milliseconds(50 * commit));
+        tracker.add_proof(commit, start + milliseconds(50 * commit));
     }
-    known.applied(10);
-    EXPECT_EQ(known.as_of(), start + milliseconds(500));
-    known.applied(1000);
-    known.add_proof(1000, start + seconds(51));
-    EXPECT_EQ(known.as_of(), start + seconds(51));
+    tracker.applied(10);
+    EXPECT_EQ(tracker.as_of(), start + milliseconds(500));
+    tracker.applied(1000);
+    tracker.add_proof(1000, start + seconds(51));
+    EXPECT_EQ(tracker.as_of(), start + seconds(51));
 }
 
 class group_freshness : public testing::Test
@@ -97,13 +97,13 @@
 
 TEST_F(group_freshness, ages_where_a_host_is_cut_off)
 {
-    auto& cut = follower();
-    hosts.partition({cut.name()});
+    auto& isolated = follower();
+    hosts.partition({isolated.name()});
     hosts.run(seconds(3));
-    EXPECT_GE(age(cut), seconds(3));
+    EXPECT_GE(age(isolated), seconds(3));
     hosts.heal();
     hosts.run(seconds(1));
-    EXPECT_LE(age(cut), max_expected_age);
+    EXPECT_LE(age(isolated), max_expected_age);
     EXPECT_EQ(hosts.violation(), "");
 }
 
@@ -160,12 +160,12 @@
 
 TEST_F(group_freshness, starts_without_a_proof)
 {
-    auto& again = follower();
-    again.crash();
-    ASSERT_TRUE(again.start());
-    EXPECT_EQ(again.running().core().known_current_at(), time_point());
+    auto& restarted = follower();
+    restarted.crash();
+    ASSERT_TRUE(restarted.start());
+    EXPECT_EQ(restarted.running().core().known_current_at(), time_point());
     hosts.run(seconds(1));
-    EXPECT_LE(age(again), max_expected_age);
+    EXPECT_LE(age(restarted), max_expected_age);
 }
 
 // Large entries for other hosts (megabytes) can delay a message for seconds.
--- a/nutmegusher/control/membership_goal.cpp
+++ b/nutmegusher/control/membership_goal.cpp
@@ -62,7 +62,7 @@
     // The learner to promote.
     [[nodiscard]] const member_view* ready_learner() const
     {
-        return first(
+        return find_first(
             [this](const member_view& each)
             {
                 return !each.member.voter() && each.caught_up && !is_lost(each);
@@ -71,7 +71,7 @@
 
     [[nodiscard]] const member_view* lost_learner() const
     {
-        return first(
+        return find_first(
             [this](const member_view& each)
             {
                 return !each.member.voter() && is_lost(each);
@@ -94,9 +94,9 @@
         return found;
     }
 
-    [[nodiscard]] bool has(const messages::replica_member& member) const
+    [[nodiscard]] bool contains(const messages::replica_member& member) const
     {
-        return first(
+        return find_first(
                    [&member](const member_view& each)
                    {
                        return each.member.identity() == member.identity();
@@ -119,18 +119,19 @@
     }
 
 private:
-    template <class Accept>
-    [[nodiscard]] std::size_t count(const Accept& accept) const
+    template <class Predicate>
+    [[nodiscard]] std::size_t count(const Predicate& predicate) const
     {
         return static_cast<std::size_t>(
-            std::count_if(present_.begin(), present_.end(), accept));
+            std::count_if(present_.begin(), present_.end(), predicate));
     }
 
-    template <class Accept>
-    [[nodiscard]] const member_view* first(const Accept& accept) const
+    template <class Predicate>
+    [[nodiscard]] const member_view*
+    find_first(const Predicate& predicate) const
     {
         const auto found =
-            std::find_if(present_.begin(), present_.end(), accept);
+            std::find_if(present_.begin(), present_.end(), predicate);
         return found == present_.end() ? nullptr : &*found;
     }
 
@@ -168,7 +169,7 @@
     }
     for (const auto& member : join_requests)
     {
-        if (!current.has(member))
+        if (!current.contains(member))
         {
             auto set = current.without(nullptr);
             *set.add_members() = member;
--- a/nutmegusher/control/memory_disk.cpp
+++ b/nutmegusher/control/memory_disk.cpp
@@ -42,12 +42,12 @@
 leaf::result<std::optional<std::string>>
 memory_disk::read(std::string_view file)
 {
-    const auto known = files_.find(file);
-    if (known == files_.end())
+    const auto existing = files_.find(file);
+    if (existing == files_.end())
     {
         return std::optional<std::string>();
     }
-    return std::optional(known->second.written);
+    return std::optional(existing->second.written);
 }
 
 leaf::result<void>
@@ -71,10 +71,10 @@
 leaf::result<void> memory_disk::sync(std::string_view file)
 {
     BOOST_LEAF_CHECK(count_operation(file));
-    const auto known = files_.find(file);
-    if (known != files_.end())
+    const auto existing = files_.find(file);
+    if (existing != files_.end())
     {
-        known->second.durable = known->second.written.size();
+        existing->second.durable = existing->second.written.size();
     }
     ++syncs_;
     return {};
--- a/nutmegusher/control/replica.cpp
+++ b/nutmegusher/control/replica.cpp
@@ -204,10 +204,10 @@
 
 void replica::set_election_deadline(duration timeout, time_point now)
 {
-    const auto spread =
+    const auto jitter =
         uniform_below(*engine_, static_cast<std::uint64_t>(timeout.count()));
     election_deadline_ =
-        now + timeout + duration(static_cast<duration::rep>(spread));
+        now + timeout + duration(static_cast<duration::rep>(jitter));
 }
 
 messages::replica_message replica::make_message(replica_id to) const
--- a/nutmegusher/control/replica.hpp
+++ b/nutmegusher/control/replica.hpp
@@ -497,7 +497,7 @@
 
     // Candidates.
     std::set<replica_id> votes_;
-    std::set<replica_id> refusals_;
+    std::set<replica_id> rejections_;
     bool declines_leadership_ = false;
 
     // Leaders.
@@ -505,7 +505,7 @@
     std::uint64_t round_ = 0;
     std::deque<std::pair<std::uint64_t, time_point>> round_starts_;
     time_point next_heartbeat_;
-    time_point lease_floor_;
+    time_point min_lease_start_;
     std::deque<pending_read> reads_;
     std::uint64_t next_ticket_ = 1;
     std::optional<transfer> transfer_;
--- a/nutmegusher/control/replica_election.cpp
+++ b/nutmegusher/control/replica_election.cpp
@@ -62,7 +62,7 @@
     }
     role_ = replica_role::pre_candidate;
     votes_ = {settings_.self};
-    refusals_.clear();
+    rejections_.clear();
     request_votes(true, false);
     count_votes(now);
 }
@@ -77,7 +77,7 @@
     // This replica's own vote counts once it is durable; see `saved`.
     vote_unsaved_ = true;
     votes_.clear();
-    refusals_.clear();
+    rejections_.clear();
     request_votes(false, transferred);
 }
 
@@ -113,8 +113,9 @@
     const messages::replica_message& message, time_point now)
 {
     const auto& vote = message.vote();
-    const bool free_vote = state_.voted_for() == 0 && !leader_;
-    const bool may_vote = state_.voted_for() == message.from() || free_vote ||
+    const bool has_free_vote = state_.voted_for() == 0 && !leader_;
+    const bool may_vote = state_.voted_for() == message.from() ||
+                          has_free_vote ||
                           (vote.pre_vote() && message.term() > term());
     const bool granted = may_vote && is_up_to_date(vote);
     auto reply = make_message(replica_id(message.from()));
@@ -136,9 +137,9 @@
     const messages::replica_message& message, time_point now)
 {
     const auto& reply = message.voted();
-    const auto asked = reply.pre_vote() ? replica_role::pre_candidate
-                                        : replica_role::candidate;
-    if (role_ != asked)
+    const auto expected_role = reply.pre_vote() ? replica_role::pre_candidate
+                                                : replica_role::candidate;
+    if (role_ != expected_role)
     {
         return;
     }
@@ -150,7 +151,7 @@
     }
     else if (!reply.granted())
     {
-        refusals_.insert(from);
+        rejections_.insert(from);
     }
     count_votes(now);
 }
@@ -179,7 +180,7 @@
             become_leader(now);
         }
     }
-    else if (count(refusals_) >= quorum())
+    else if (count(rejections_) >= quorum())
     {
         become_follower(term(), std::nullopt, now);
     }
@@ -189,7 +190,7 @@
 {
     role_ = replica_role::leader;
     leader_ = settings_.self;
-    lease_floor_ = now;
+    min_lease_start_ = now;
     peers_.clear();
     round_starts_.clear();
     refresh_peers();
--- a/nutmegusher/control/replica_leader.cpp
+++ b/nutmegusher/control/replica_leader.cpp
@@ -198,10 +198,10 @@
         {
             continue;
         }
-        const auto known = peers_.find(id);
-        if (known != peers_.end())
+        const auto follower = peers_.find(id);
+        if (follower != peers_.end())
         {
-            refreshed.emplace(id, known->second);
+            refreshed.emplace(id, follower->second);
             continue;
         }
         peer added;
@@ -369,8 +369,9 @@
             matches.push_back(saved_index_);
             continue;
         }
-        const auto known = peers_.find(id);
-        matches.push_back(known == peers_.end() ? 0 : known->second.match);
+        const auto follower = peers_.find(id);
+        matches.push_back(
+            follower == peers_.end() ? 0 : follower->second.match);
     }
     if (matches.empty())
     {
@@ -398,9 +399,10 @@
     std::vector<std::uint64_t> rounds;
     for (const auto id : voters())
     {
-        const auto known = peers_.find(id);
+        const auto follower = peers_.find(id);
         rounds.push_back(
-            known == peers_.end() ? round_ : known->second.acknowledged_round);
+            follower == peers_.end() ? round_
+                                     : follower->second.acknowledged_round);
     }
     const auto agreed = value_reached_by(std::move(rounds), quorum());
     while (!reads_.empty() && reads_.front().round &&
@@ -416,18 +418,18 @@
     std::vector<time_point> starts;
     for (const auto id : voters())
     {
-        const auto known = peers_.find(id);
+        const auto follower = peers_.find(id);
         starts.push_back(
-            id == settings_.self || known == peers_.end()
+            id == settings_.self || follower == peers_.end()
                 ? last_now_
-                : known->second.lease_start);
+                : follower->second.lease_start);
     }
     if (starts.empty())
     {
-        return lease_floor_;
+        return min_lease_start_;
     }
     const auto agreed = value_reached_by(std::move(starts), quorum());
-    return std::max(agreed, lease_floor_);
+    return std::max(agreed, min_lease_start_);
 }
 
 time_point replica::lease_end() const
@@ -443,18 +445,18 @@
 std::vector<follower_progress> replica::progress(time_point now) const
 {
     std::vector<follower_progress> all;
-    for (const auto& [id, known] : peers_)
+    for (const auto& [id, follower] : peers_)
     {
         const bool active =
-            now - known.lease_start < settings_.timing.election_timeout;
+            now - follower.lease_start < settings_.timing.election_timeout;
         all.push_back(
             {id,
-             known.match,
+             follower.match,
              active,
-             known.snapshot_deadline.has_value(),
-             known.declines_leadership,
-             known.in_flight ? known.in_flight->bytes : 0,
-             known.resends});
+             follower.snapshot_deadline.has_value(),
+             follower.declines_leadership,
+             follower.in_flight ? follower.in_flight->bytes : 0,
+             follower.resends});
     }
     return all;
 }
--- a/nutmegusher/control/replica_rules_test.cpp
+++ b/nutmegusher/control/replica_rules_test.cpp
@@ -47,12 +47,12 @@
         core.emplace(std::move(
             replica::create(settings, recovered, engine, start).value()));
         core->tick(now);
-        vote(true);
+        receive_vote(true);
         save();
-        vote(false);
+        receive_vote(false);
     }
 
-    void vote(bool pre_vote)
+    void receive_vote(bool pre_vote)
     {
         messages::replica_message message;
         message.set_from(2);
@@ -92,11 +92,11 @@
 
     void save()
     {
-        static_cast<void>(entries_to_second());
+        static_cast<void>(count_appends_to_second());
     }
 
     // Saves, and counts the messages with entries that are sent to member 2.
-    std::size_t entries_to_second()
+    std::size_t count_appends_to_second()
     {
         std::size_t count = 0;
         while (const auto ready = core->take_ready(now))
@@ -113,7 +113,7 @@
     }
 
     // Saves, and counts the messages to member 2 that contain the entry.
-    std::size_t messages_with(log_index index)
+    std::size_t count_messages_with(log_index index)
     {
         std::size_t count = 0;
         while (const auto ready = core->take_ready(now))
@@ -134,7 +134,7 @@
 
     // Saves, and returns the size of the messages with entries to member 2 and
     // the last index that they contain.
-    std::pair<std::size_t, log_index> sent_to_second()
+    std::pair<std::size_t, log_index> bytes_sent_to_second()
     {
         std::pair<std::size_t, log_index> sent{0, 0};
         while (const auto ready = core->take_ready(now))
@@ -154,7 +154,7 @@
     }
 
     // Saves, and counts the snapshots that are sent to member 3.
-    std::size_t snapshots_to_third()
+    std::size_t count_snapshots_to_third()
     {
         std::size_t count = 0;
         while (const auto ready = core->take_ready(now))
@@ -172,14 +172,14 @@
     // Simulates `times` heartbeats in a row that overtake the entries before
     // them, so that member 2 rejects them; `last` is the end of its log. Counts
     // the messages with entries.
-    std::size_t entries_while_overtaken(int times, log_index last)
+    std::size_t count_appends_while_overtaken(int times, log_index last)
     {
         std::size_t count = 0;
         for (int i = 0; i < times; ++i)
         {
             now += replica_timing().heartbeat;
             core->tick(now);
-            count += entries_to_second();
+            count += count_appends_to_second();
             reject(last);
         }
         return count;
@@ -214,7 +214,7 @@
             });
     }
 
-    messages::replica_set with_fourth(bool voter)
+    messages::replica_set with_fourth_member(bool voter)
     {
         auto members = three_voters();
         auto& added = *members.add_members();
@@ -244,16 +244,17 @@
 {
     save();
     EXPECT_EQ(
-        refusal_of(with_fourth(false)), replica_refusal::membership_pending);
+        refusal_of(with_fourth_member(false)),
+        replica_refusal::membership_pending);
     acknowledge(3);
-    EXPECT_EQ(refusal_of(with_fourth(false)), std::nullopt);
+    EXPECT_EQ(refusal_of(with_fourth_member(false)), std::nullopt);
 }
 
 TEST_F(elected_replica, changes_one_membership_at_a_time)
 {
     save();
     acknowledge(3);
-    ASSERT_EQ(refusal_of(with_fourth(false)), std::nullopt);
+    ASSERT_EQ(refusal_of(with_fourth_member(false)), std::nullopt);
     save();
     EXPECT_EQ(refusal_of(three_voters()), replica_refusal::membership_pending);
 }
@@ -262,10 +263,11 @@
 {
     save();
     acknowledge(3);
-    ASSERT_EQ(refusal_of(with_fourth(false)), std::nullopt);
+    ASSERT_EQ(refusal_of(with_fourth_member(false)), std::nullopt);
     save();
     acknowledge(4);
-    EXPECT_EQ(refusal_of(with_fourth(true)), replica_refusal::not_caught_up);
+    EXPECT_EQ(
+        refusal_of(with_fourth_member(true)), replica_refusal::not_caught_up);
 }
 
 TEST_F(elected_replica, changes_one_voter_at_most)
@@ -285,8 +287,8 @@
     save();
     acknowledge(3);
     propose_large();
-    EXPECT_EQ(entries_to_second(), 1U);
-    EXPECT_EQ(entries_while_overtaken(8, 3), 0U);
+    EXPECT_EQ(count_appends_to_second(), 1U);
+    EXPECT_EQ(count_appends_while_overtaken(8, 3), 0U);
     acknowledge(4);
     EXPECT_EQ(core->commit(), 4U);
 }
@@ -296,9 +298,9 @@
     // Member 2 lacks the entry that this leader held before its election.
     save();
     reject(1);
-    EXPECT_EQ(entries_while_overtaken(1, 1), 1U);
+    EXPECT_EQ(count_appends_while_overtaken(1, 1), 1U);
     propose_large();
-    EXPECT_LE(entries_while_overtaken(8, 1), 2U);
+    EXPECT_LE(count_appends_while_overtaken(8, 1), 2U);
 }
 
 // New entries every 20 ms must not postpone the resend of lost ones: the
@@ -307,7 +309,7 @@
 {
     save();
     acknowledge(3);
-    std::size_t with_first = 0;
+    std::size_t sends_of_first = 0;
     for (int i = 0; i < 50; ++i)
     {
         messages::log_entry entry;
@@ -315,11 +317,11 @@
         ASSERT_TRUE(core->propose(std::move(entry), now));
         now += std::chrono::milliseconds(20);
         core->tick(now);
-        with_first += messages_with(4);
+        sends_of_first += count_messages_with(4);
         reject(3);
     }
-    EXPECT_GE(with_first, 3U);
-    EXPECT_LE(with_first, 10U);
+    EXPECT_GE(sends_of_first, 3U);
+    EXPECT_LE(sends_of_first, 10U);
 }
 
 // A follower that lacks many large entries is sent only what its link carries
@@ -330,7 +332,7 @@
     acknowledge(3);
     // What a link of the lowest assumed speed carries in a second, and one
     // entry.
-    constexpr std::size_t most = 1'000'000 + large_bytes;
+    constexpr std::size_t max_bytes = 1'000'000 + large_bytes;
     log_index held = 3;
     for (int i = 0; i < 40; ++i)
     {
@@ -338,9 +340,9 @@
     }
     while (held < 43)
     {
-        const auto [bytes, last] = sent_to_second();
+        const auto [bytes, last] = bytes_sent_to_second();
         ASSERT_GT(last, held);
-        ASSERT_LE(bytes, most);
+        ASSERT_LE(bytes, max_bytes);
         held = last;
         acknowledge(held);
     }
@@ -370,7 +372,7 @@
     {
         now += replica_timing().heartbeat;
         core->tick(now);
-        snapshots += snapshots_to_third();
+        snapshots += count_snapshots_to_third();
         acknowledge(3);
     }
     EXPECT_EQ(snapshots, 1U);
@@ -381,8 +383,8 @@
     save();
     acknowledge(3);
     propose_large();
-    EXPECT_EQ(entries_to_second(), 1U);
-    EXPECT_EQ(entries_while_overtaken(40, 3), 2U);
+    EXPECT_EQ(count_appends_to_second(), 1U);
+    EXPECT_EQ(count_appends_while_overtaken(40, 3), 2U);
     acknowledge(4);
     EXPECT_EQ(core->commit(), 4U);
 }
--- a/nutmegusher/control/replica_test.cpp
+++ b/nutmegusher/control/replica_test.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t seed = 20261202;
 
 // Proposes the item at the leader and waits until it is acknowledged.
-void accept(cluster& hosts, const std::string& item)
+void propose_until_acknowledged(cluster& hosts, const std::string& item)
 {
     ASSERT_TRUE(hosts.run_until(
         [&]
@@ -25,7 +25,7 @@
         }));
 }
 
-bool all_hold(cluster& hosts, const std::string& item)
+bool all_hosts_end_with(cluster& hosts, const std::string& item)
 {
     for (auto& each : hosts.hosts)
     {
@@ -45,7 +45,7 @@
 TEST(replica, one_host_alone_accepts)
 {
     cluster hosts(1, seed);
-    accept(hosts, "a");
+    propose_until_acknowledged(hosts, "a");
     EXPECT_EQ(hosts.violation(), "");
 }
 
@@ -54,12 +54,12 @@
     cluster hosts(3, seed);
     for (int i = 0; i < 100; ++i)
     {
-        accept(hosts, "item-" + std::to_string(i));
+        propose_until_acknowledged(hosts, "item-" + std::to_string(i));
     }
     EXPECT_TRUE(hosts.run_until(
         [&]
         {
-            return all_hold(hosts, "item-99");
+            return all_hosts_end_with(hosts, "item-99");
         }));
     EXPECT_EQ(hosts.violation(), "");
 }
@@ -67,7 +67,7 @@
 TEST(replica, an_isolated_leader_neither_accepts_nor_answers_reads)
 {
     cluster hosts(3, seed);
-    accept(hosts, "before");
+    propose_until_acknowledged(hosts, "before");
     auto& old_leader = *hosts.leader();
     hosts.partition({old_leader.name()});
     EXPECT_TRUE(hosts.propose(old_leader, "lost"));
@@ -81,12 +81,12 @@
     EXPECT_FALSE(hosts.read(old_leader));
     EXPECT_EQ(old_leader.reads_done, 0U);
     EXPECT_EQ(old_leader.reads_failed_count, 1U);
-    accept(hosts, "after");
+    propose_until_acknowledged(hosts, "after");
     hosts.heal();
     EXPECT_TRUE(hosts.run_until(
         [&]
         {
-            return all_hold(hosts, "after");
+            return all_hosts_end_with(hosts, "after");
         }));
     EXPECT_FALSE(hosts.acknowledged("lost"));
     EXPECT_EQ(hosts.violation(), "");
@@ -95,17 +95,17 @@
 TEST(replica, a_frozen_leader_that_wakes_late_refuses_at_once)
 {
     cluster hosts(3, seed);
-    accept(hosts, "before");
+    propose_until_acknowledged(hosts, "before");
     auto& old_leader = *hosts.leader();
     old_leader.frozen = true;
-    accept(hosts, "meanwhile");
+    propose_until_acknowledged(hosts, "meanwhile");
     old_leader.frozen = false;
     EXPECT_FALSE(hosts.read(old_leader));
     EXPECT_FALSE(hosts.propose(old_leader, "late"));
     EXPECT_TRUE(hosts.run_until(
         [&]
         {
-            return all_hold(hosts, "meanwhile");
+            return all_hosts_end_with(hosts, "meanwhile");
         }));
     EXPECT_EQ(hosts.violation(), "");
 }
@@ -113,11 +113,12 @@
 TEST(replica, a_host_that_returns_from_a_cut_deposes_nobody)
 {
     cluster hosts(3, seed);
-    accept(hosts, "before");
+    propose_until_acknowledged(hosts, "before");
     auto& leader = *hosts.leader();
     const auto term = leader.running().core().term();
-    auto& other = &leader == &hosts.hosts[0] ? hosts.hosts[1] : hosts.hosts[0];
-    hosts.partition({other.name()});
+    auto& follower =
+        &leader == &hosts.hosts[0] ? hosts.hosts[1] : hosts.hosts[0];
+    hosts.partition({follower.name()});
     hosts.run(std::chrono::seconds(10));
     hosts.heal();
     hosts.run(std::chrono::seconds(3));
@@ -128,10 +129,10 @@
 TEST(replica, leadership_passes_to_the_chosen_voter)
 {
     cluster hosts(3, seed);
-    accept(hosts, "before");
+    propose_until_acknowledged(hosts, "before");
     auto& leader = *hosts.leader();
     auto& next = &leader == &hosts.hosts[0] ? hosts.hosts[1] : hosts.hosts[0];
-    const auto asked = leaf::try_handle_all(
+    const auto transfer_started = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
         {
             BOOST_LEAF_CHECK(leader.running().core().transfer_leadership(
@@ -142,44 +143,45 @@
         {
             return false;
         });
-    EXPECT_TRUE(asked);
+    EXPECT_TRUE(transfer_started);
     EXPECT_TRUE(hosts.run_until(
         [&]
         {
             return next.leads() && !leader.leads();
         },
         std::chrono::milliseconds(100)));
-    accept(hosts, "after");
+    propose_until_acknowledged(hosts, "after");
     EXPECT_EQ(hosts.violation(), "");
 }
 
 TEST(replica, a_follower_far_behind_gets_a_snapshot)
 {
     cluster hosts(3, seed, {16, 0.0, 4});
-    accept(hosts, "first");
+    propose_until_acknowledged(hosts, "first");
     auto& leader = *hosts.leader();
-    auto& other = &leader == &hosts.hosts[0] ? hosts.hosts[1] : hosts.hosts[0];
-    hosts.partition({other.name()});
+    auto& follower =
+        &leader == &hosts.hosts[0] ? hosts.hosts[1] : hosts.hosts[0];
+    hosts.partition({follower.name()});
     for (int i = 0; i < 100; ++i)
     {
-        accept(hosts, "item-" + std::to_string(i));
+        propose_until_acknowledged(hosts, "item-" + std::to_string(i));
     }
     hosts.heal();
     EXPECT_TRUE(hosts.run_until(
         [&]
         {
-            return all_hold(hosts, "item-99");
+            return all_hosts_end_with(hosts, "item-99");
         }));
-    EXPECT_GT(other.running().snapshot_index(), 1U);
+    EXPECT_GT(follower.running().snapshot_index(), 1U);
     EXPECT_EQ(hosts.violation(), "");
 }
 
 // Restarts all hosts at once after many changes. `snapshots`: whether a
 // snapshot covers most of them, so that few entries are replayed.
-void restart_after_many(const snapshot_policy& policy, bool snapshots)
+void restart_after_many_changes(const snapshot_policy& policy, bool snapshots)
 {
     cluster hosts(3, seed, policy);
-    accept(hosts, "first");
+    propose_until_acknowledged(hosts, "first");
     for (int i = 0; i < 1000; ++i)
     {
         hosts.propose(*hosts.leader(), "item-" + std::to_string(i));
@@ -197,7 +199,7 @@
     {
         ASSERT_TRUE(each.start());
     }
-    accept(hosts, "last");
+    propose_until_acknowledged(hosts, "last");
     auto& leader = *hosts.leader();
     EXPECT_TRUE(hosts.holds_all_acknowledged(leader));
     EXPECT_EQ(leader.running().snapshot_index() > 900, snapshots);
@@ -214,7 +216,7 @@
     for (std::uint64_t seed_offset = 0; seed_offset < 20; ++seed_offset)
     {
         cluster hosts(5, seed + seed_offset);
-        accept(hosts, "first");
+        propose_until_acknowledged(hosts, "first");
         for (auto& each : hosts.hosts)
         {
             each.crash();
@@ -224,13 +226,13 @@
             ASSERT_TRUE(hosts.hosts[at].start());
             hosts.run(at < 2 ? 120ms : 0ms);
         }
-        const auto third = hosts.now;
+        const auto majority_up_at = hosts.now;
         const auto has_leader = [&]
         {
             return hosts.leader() != nullptr;
         };
         ASSERT_TRUE(hosts.run_until(has_leader));
-        longest = std::max(longest, hosts.now - third);
+        longest = std::max(longest, hosts.now - majority_up_at);
         EXPECT_EQ(hosts.violation(), "");
     }
     EXPECT_LT(longest, 300ms);
@@ -238,12 +240,12 @@
 
 TEST(replica, a_thousand_changes_outlive_a_restart_without_snapshot)
 {
-    restart_after_many({100'000, 0.0, 1024}, false);
+    restart_after_many_changes({100'000, 0.0, 1024}, false);
 }
 
 TEST(replica, a_thousand_changes_outlive_a_restart_with_snapshots)
 {
-    restart_after_many({50, 0.0, 20}, true);
+    restart_after_many_changes({50, 0.0, 20}, true);
 }
 
 TEST(replica, a_second_host_lost_just_after_a_repair_loses_nothing)
@@ -251,7 +253,7 @@
     cluster hosts(3, seed);
     for (int i = 0; i < 50; ++i)
     {
-        accept(hosts, "item-" + std::to_string(i));
+        propose_until_acknowledged(hosts, "item-" + std::to_string(i));
     }
     auto* lost =
         hosts.leader() == &hosts.hosts[0] ? &hosts.hosts[1] : &hosts.hosts[0];
@@ -264,7 +266,7 @@
             return leader != nullptr && hosts.repair(*leader);
         }));
     hosts.leader()->replace_disk();
-    accept(hosts, "after");
+    propose_until_acknowledged(hosts, "after");
     EXPECT_TRUE(hosts.holds_all_acknowledged(*hosts.leader()));
     EXPECT_EQ(hosts.violation(), "");
 }
@@ -272,18 +274,18 @@
 TEST(replica, a_full_disk_stops_the_leader_and_another_one_accepts)
 {
     cluster hosts(3, seed);
-    accept(hosts, "before");
-    auto& full = *hosts.leader();
-    full.disk.set_capacity(0);
-    hosts.propose(full, "on the full disk");
-    EXPECT_FALSE(full.up());
-    accept(hosts, "after");
-    full.disk.set_capacity(std::nullopt);
-    ASSERT_TRUE(full.start());
+    propose_until_acknowledged(hosts, "before");
+    auto& full_host = *hosts.leader();
+    full_host.disk.set_capacity(0);
+    hosts.propose(full_host, "on the full disk");
+    EXPECT_FALSE(full_host.up());
+    propose_until_acknowledged(hosts, "after");
+    full_host.disk.set_capacity(std::nullopt);
+    ASSERT_TRUE(full_host.start());
     EXPECT_TRUE(hosts.run_until(
         [&]
         {
-            return all_hold(hosts, "after");
+            return all_hosts_end_with(hosts, "after");
         }));
     EXPECT_EQ(hosts.violation(), "");
 }
@@ -291,13 +293,13 @@
 TEST(replica, an_emptied_folder_has_no_vote)
 {
     cluster hosts(3, seed);
-    accept(hosts, "kept");
+    propose_until_acknowledged(hosts, "kept");
     // One host that holds the item and two with empty disks: there is no
     // majority, so nothing may be accepted.
-    auto& left = *hosts.leader();
+    auto& survivor = *hosts.leader();
     for (auto& each : hosts.hosts)
     {
-        if (&each != &left)
+        if (&each != &survivor)
         {
             each.replace_disk();
             ASSERT_TRUE(each.start());
@@ -305,7 +307,7 @@
     }
     hosts.run(std::chrono::seconds(20));
     EXPECT_EQ(hosts.leader(), nullptr);
-    EXPECT_FALSE(hosts.propose(left, "refused"));
+    EXPECT_FALSE(hosts.propose(survivor, "refused"));
 }
 
 } // namespace
--- a/nutmegusher/control/replicated_group.hpp
+++ b/nutmegusher/control/replicated_group.hpp
@@ -289,12 +289,12 @@
     [[nodiscard]] bool snapshot_due() const
     {
         const auto ratio = policy_.log_to_snapshot_ratio;
-        const auto weight = ratio * double(storage_.snapshot_bytes());
-        const bool enough =
+        const auto min_log_bytes = ratio * double(storage_.snapshot_bytes());
+        const bool is_long_log =
             applied_index_ - snapshot_index_ >= policy_.entries_between ||
             storage_.log_bytes() >= policy_.bytes_between;
-        return enough && applied_index_ > snapshot_index_ &&
-               double(storage_.log_bytes()) >= weight;
+        return is_long_log && applied_index_ > snapshot_index_ &&
+               double(storage_.log_bytes()) >= min_log_bytes;
     }
 
     // The log is compacted up to this index; later entries stay.
--- a/nutmegusher/control/storage_test.cpp
+++ b/nutmegusher/control/storage_test.cpp
@@ -54,12 +54,12 @@
 template <disk Disk>
 void save(group_storage<Disk>& storage, log_index first, log_index last)
 {
-    const auto failed = failure_of(
+    const auto failure = failure_of(
         [&]
         {
             return storage.save(ready_with(first, last));
         });
-    ASSERT_FALSE(failed);
+    ASSERT_FALSE(failure);
 }
 
 template <disk Disk>
@@ -67,14 +67,14 @@
 {
     group_storage<Disk> storage(target, 0);
     std::size_t count = 0;
-    const auto failed = failure_of(
+    const auto failure = failure_of(
         [&]() -> leaf::result<void>
         {
             BOOST_LEAF_AUTO(recovered, storage.load(true));
             count = recovered.entries.size();
             return {};
         });
-    EXPECT_FALSE(failed);
+    EXPECT_FALSE(failure);
     return count;
 }
 
@@ -85,13 +85,14 @@
     save(storage, 1, 3);
     const auto first_size = target.content(log_file).size();
     save(storage, 4, 5);
-    const auto whole = target.content(log_file);
-    for (std::size_t lost = 1; lost < whole.size() - first_size; ++lost)
+    const auto intact_log = target.content(log_file);
+    for (std::size_t lost = 1; lost < intact_log.size() - first_size; ++lost)
     {
-        target.content(log_file) = whole.substr(0, whole.size() - lost);
+        target.content(log_file) =
+            intact_log.substr(0, intact_log.size() - lost);
         EXPECT_EQ(loaded_entries(target), 3U) << lost;
-        group_storage<memory_disk> again(target, 0);
-        save(again, 4, 4);
+        group_storage<memory_disk> reopened(target, 0);
+        save(reopened, 4, 4);
         EXPECT_EQ(loaded_entries(target), 4U) << lost;
     }
 }
@@ -105,15 +106,15 @@
     save(storage, 4, 5);
     save(storage, 6, 6);
     target.content(log_file)[offset + frame_overhead + 1] ^= 0x10;
-    const auto failed = failure_of(
+    const auto failure = failure_of(
         [&]
         {
             return storage.load(true);
         });
-    ASSERT_TRUE(failed);
-    EXPECT_EQ(failed->fault, storage_fault::bad_checksum);
-    EXPECT_EQ(failed->file, log_file);
-    EXPECT_EQ(failed->offset, offset);
+    ASSERT_TRUE(failure);
+    EXPECT_EQ(failure->fault, storage_fault::bad_checksum);
+    EXPECT_EQ(failure->file, log_file);
+    EXPECT_EQ(failure->offset, offset);
 }
 
 // Power is lost after a received snapshot was written and before the log that
@@ -136,8 +137,8 @@
         }));
     target.crash(engine);
     EXPECT_EQ(loaded_entries(target), 0U);
-    group_storage<memory_disk> again(target, 0);
-    save(again, 11, 12);
+    group_storage<memory_disk> reopened(target, 0);
+    save(reopened, 11, 12);
     EXPECT_EQ(loaded_entries(target), 2U);
 }
 
@@ -145,13 +146,13 @@
 {
     memory_disk target;
     group_storage<memory_disk> storage(target, 0);
-    const auto failed = failure_of(
+    const auto failure = failure_of(
         [&]
         {
             return storage.load(true);
         });
-    ASSERT_TRUE(failed);
-    EXPECT_EQ(failed->fault, storage_fault::missing);
+    ASSERT_TRUE(failure);
+    EXPECT_EQ(failure->fault, storage_fault::missing);
 }
 
 TEST(group_storage, a_full_disk_is_a_failure_and_leaves_what_was_saved)
@@ -160,13 +161,13 @@
     group_storage<memory_disk> storage(target, 0);
     save(storage, 1, 3);
     target.set_capacity(target.content(log_file).size() + 10);
-    const auto failed = failure_of(
+    const auto failure = failure_of(
         [&]
         {
             return storage.save(ready_with(4, 4));
         });
-    ASSERT_TRUE(failed);
-    EXPECT_EQ(failed->fault, storage_fault::full);
+    ASSERT_TRUE(failure);
+    EXPECT_EQ(failure->fault, storage_fault::full);
     EXPECT_EQ(loaded_entries(target), 3U);
 }
 
@@ -250,13 +251,13 @@
 {
     auto target = file_disk::open(folder);
     ASSERT_TRUE(target);
-    const auto failed = failure_of(
+    const auto failure = failure_of(
         [&]
         {
             return file_disk::open(folder);
         });
-    ASSERT_TRUE(failed);
-    EXPECT_EQ(failed->fault, storage_fault::in_use);
+    ASSERT_TRUE(failure);
+    EXPECT_EQ(failure->fault, storage_fault::in_use);
 }
 
 } // namespace
--- a/nutmegusher/control/test_cluster.cpp
+++ b/nutmegusher/control/test_cluster.cpp
@@ -98,7 +98,7 @@
     {
         return;
     }
-    const bool good = leaf::try_handle_all(
+    const bool succeeded = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
         {
             BOOST_LEAF_CHECK(
@@ -109,7 +109,7 @@
         {
             return false;
         });
-    if (!good)
+    if (!succeeded)
     {
         group_.reset();
         open_reads.clear();
@@ -307,13 +307,13 @@
             {message, from, target->name()});
         return;
     }
-    const auto spread = static_cast<std::uint64_t>(faults.max_delay.count());
+    const auto jitter = static_cast<std::uint64_t>(faults.max_delay.count());
     const auto copies =
         uniform_below(engine, 100) < faults.duplicate_percent ? 2 : 1;
     for (int i = 0; i < copies; ++i)
     {
         const duration delay(
-            static_cast<duration::rep>(uniform_below(engine, spread + 1)));
+            static_cast<duration::rep>(uniform_below(engine, jitter + 1)));
         network_.emplace(now + delay, envelope{message, from, target->name()});
     }
 }
@@ -426,15 +426,15 @@
     {
         return false;
     }
-    std::size_t known = 0;
+    std::size_t expected = 0;
     for (std::size_t i = 0; i < committed_items_.size(); ++i)
     {
         if (acknowledged_.contains(committed_items_[i]))
         {
-            known = i + 1;
+            expected = i + 1;
         }
     }
-    at.open_reads[*ticket] = known;
+    at.open_reads[*ticket] = expected;
     at.process_ready();
     return true;
 }
@@ -526,11 +526,11 @@
 {
     const auto text = std::to_string(entry.term()) + "/" +
                       entry.configuration_change().change_id();
-    const auto [known, added] = committed_.emplace(entry.index(), text);
-    if (!added && known->second != text)
+    const auto [expected, added] = committed_.emplace(entry.index(), text);
+    if (!added && expected->second != text)
     {
         fail(
-            at.name() + " applied " + text + ", but " + known->second +
+            at.name() + " applied " + text + ", but " + expected->second +
             " was committed at that index");
     }
     if (added)
@@ -593,18 +593,18 @@
 void cluster::record_leader(host& at)
 {
     auto& core = at.running().core();
-    const auto [known, added] = leaders_.emplace(core.term(), at.id());
-    if (!added && known->second != at.id())
+    const auto [expected, added] = leaders_.emplace(core.term(), at.id());
+    if (!added && expected->second != at.id())
     {
         fail("two leaders in term " + std::to_string(core.term()));
     }
 }
 
-void cluster::check_read(host& at, confirmed_read read, std::size_t known)
+void cluster::check_read(host& at, confirmed_read read, std::size_t expected)
 {
     auto& running = at.running();
     if (running.applied() < read.index ||
-        running.machine().items().size() < known)
+        running.machine().items().size() < expected)
     {
         fail(at.name() + " answered a read from a stale state");
     }
--- a/nutmegusher/control/test_cluster.hpp
+++ b/nutmegusher/control/test_cluster.hpp
@@ -242,7 +242,7 @@
     void record_acknowledged(const std::string& item);
     void check_freshness(const host& at);
     void record_leader(host& at);
-    void check_read(host& at, confirmed_read read, std::size_t known);
+    void check_read(host& at, confirmed_read read, std::size_t expected);
     void check_restored(const host& at, const std::vector<std::string>& items);
     void fail(const std::string& what);
 
