--- a/nutmegusher/control/configuration_store.cpp
+++ b/nutmegusher/control/configuration_store.cpp
@@ -12,7 +12,7 @@
 {
 
 messages::change_result
-refused(messages::change_verdict verdict, nutmegusher::revision present)
+make_result(messages::change_verdict verdict, nutmegusher::revision present)
 {
     messages::change_result result;
     result.set_verdict(verdict);
@@ -123,7 +123,7 @@
     }
     if (existing->second.digest != digest_of(change))
     {
-        return refused(messages::change_id_reused, revision_);
+        return make_result(messages::change_id_reused, revision_);
     }
     return existing->second.answer;
 }
@@ -143,7 +143,7 @@
     const auto present = class_revision(name);
     if (present.value() != change.based_on())
     {
-        return refused(messages::change_conflict, present);
+        return make_result(messages::change_conflict, present);
     }
     const bool exists = classes_.contains(name);
     if (!exists && !change.has_declare())
@@ -159,7 +159,7 @@
         return invalid(
             messages::problem_overlapping_match, "declare.path_prefix");
     }
-    return refused(messages::change_accepted, revision_.next());
+    return make_result(messages::change_accepted, revision_.next());
 }
 
 messages::change_result configuration_store::validate_routes(
@@ -167,7 +167,7 @@
 {
     if (document.based_on() != routes_.version())
     {
-        return refused(
+        return make_result(
             messages::change_conflict,
             nutmegusher::revision(routes_.version()));
     }
@@ -175,7 +175,7 @@
     {
         return invalid(messages::problem_old_version, "version");
     }
-    return refused(messages::change_accepted, revision_.next());
+    return make_result(messages::change_accepted, revision_.next());
 }
 
 nutmegusher::revision
--- a/nutmegusher/control/configuration_store_test.cpp
+++ b/nutmegusher/control/configuration_store_test.cpp
@@ -165,10 +165,11 @@
         const auto before = store.revision();
         const bool repeated = store.has_result_for(change);
         const auto result = store.apply(change);
-        const bool moved =
+        const bool revision_raised =
             !repeated && result.verdict() == messages::change_accepted;
-        RC_ASSERT(store.revision() == (moved ? before.next() : before));
-        if (moved)
+        RC_ASSERT(
+            store.revision() == (revision_raised ? before.next() : before));
+        if (revision_raised)
         {
             past.push_back(store.present());
         }
--- a/nutmegusher/control/replica_test.cpp
+++ b/nutmegusher/control/replica_test.cpp
@@ -212,7 +212,7 @@
 TEST(replica, hosts_that_start_again_elect_soon)
 {
     using namespace std::chrono_literals;
-    duration longest{0};
+    duration max_election_time{0};
     for (std::uint64_t seed_offset = 0; seed_offset < 20; ++seed_offset)
     {
         cluster hosts(5, seed + seed_offset);
@@ -232,10 +232,11 @@
             return hosts.leader() != nullptr;
         };
         ASSERT_TRUE(hosts.run_until(has_leader));
-        longest = std::max(longest, hosts.now - majority_up_at);
+        max_election_time =
+            std::max(max_election_time, hosts.now - majority_up_at);
         EXPECT_EQ(hosts.violation(), "");
     }
-    EXPECT_LT(longest, 300ms);
+    EXPECT_LT(max_election_time, 300ms);
 }
 
 TEST(replica, a_thousand_changes_outlive_a_restart_without_snapshot)
--- a/nutmegusher/control/route_document_test.cpp
+++ b/nutmegusher/control/route_document_test.cpp
@@ -163,12 +163,12 @@
 {
     configuration_store store;
     store.apply(install("a", document(4, 0)));
-    const auto again = install("b", document(5, 4));
-    store.apply(again);
+    const auto second = install("b", document(5, 4));
+    store.apply(second);
     auto restored = configuration_store::restore(store.snapshot());
     ASSERT_TRUE(restored);
     EXPECT_EQ(restored->present().routes().source(), "as sent 5");
-    EXPECT_EQ(restored->apply(again).verdict(), messages::change_accepted);
+    EXPECT_EQ(restored->apply(second).verdict(), messages::change_accepted);
 
     messages::configuration follower;
     apply_delta(follower, restored->delta_since(revision(0)));
--- a/nutmegusher/control/test_cluster.cpp
+++ b/nutmegusher/control/test_cluster.cpp
@@ -14,13 +14,13 @@
 
 } // namespace
 
-std::string journal::apply(const messages::log_entry& entry)
+std::string item_recorder::apply(const messages::log_entry& entry)
 {
     items_.push_back(entry.configuration_change().change_id());
     return items_.back();
 }
 
-std::string journal::snapshot() const
+std::string item_recorder::snapshot() const
 {
     std::string bytes;
     for (const auto& item : items_)
@@ -30,9 +30,9 @@
     return bytes;
 }
 
-leaf::result<journal> journal::restore(std::string_view bytes)
+leaf::result<item_recorder> item_recorder::restore(std::string_view bytes)
 {
-    journal restored;
+    item_recorder restored;
     while (!bytes.empty())
     {
         const auto end = bytes.find(separator);
--- a/nutmegusher/control/test_cluster.hpp
+++ b/nutmegusher/control/test_cluster.hpp
@@ -20,14 +20,14 @@
 {
 
 // A state machine that keeps every applied item.
-class journal
+class item_recorder
 {
 public:
     using result_type = std::string;
 
     std::string apply(const messages::log_entry& entry);
     [[nodiscard]] std::string snapshot() const;
-    static leaf::result<journal> restore(std::string_view bytes);
+    static leaf::result<item_recorder> restore(std::string_view bytes);
 
     [[nodiscard]] const std::vector<std::string>& items() const
     {
@@ -38,7 +38,7 @@
     std::vector<std::string> items_;
 };
 
-using group = replicated_group<memory_disk, journal>;
+using group = replicated_group<memory_disk, item_recorder>;
 
 class cluster;
 
