--- a/nutmegusher/control/configuration_store.cpp
+++ b/nutmegusher/control/configuration_store.cpp
@@ -12,7 +12,7 @@
 {
 
 messages::change_result
-refused(messages::change_verdict verdict, nutmegusher::revision present)
+make_result(messages::change_verdict verdict, nutmegusher::revision present)
 {
     messages::change_result result;
     result.set_verdict(verdict);
@@ -43,7 +43,8 @@
            left.path_prefix() == right.path_prefix();
 }
 
-// Does one accepted change to a map or to any other keeper of classes.
+// Applies one accepted change to a container of classes, through its three
+// operations. A change of routes does nothing here.
 template <class Put, class Find, class Remove>
 void apply_accepted_change(
     const messages::accepted_change& accepted,
@@ -60,10 +61,10 @@
     }
     else if (change.has_set_target())
     {
-        if (auto* known = find(change.set_target().class_name()))
+        if (auto* existing = find(change.set_target().class_name()))
         {
-            *known->mutable_target() = change.set_target().target();
-            known->set_revision(accepted.revision());
+            *existing->mutable_target() = change.set_target().target();
+            existing->set_revision(accepted.revision());
         }
     }
     else if (!change.has_install_routes())
@@ -115,16 +116,16 @@
 messages::change_result
 configuration_store::check(const messages::change& change) const
 {
-    const auto known = results_.find(change.change_id());
-    if (known == results_.end())
+    const auto existing = results_.find(change.change_id());
+    if (existing == results_.end())
     {
         return validate(change);
     }
-    if (known->second.digest != digest_of(change))
+    if (existing->second.digest != digest_of(change))
     {
-        return refused(messages::change_id_reused, revision_);
+        return make_result(messages::change_id_reused, revision_);
     }
-    return known->second.answer;
+    return existing->second.answer;
 }
 
 messages::change_result
@@ -142,7 +143,7 @@
     const auto present = class_revision(name);
     if (present.value() != change.based_on())
     {
-        return refused(messages::change_conflict, present);
+        return make_result(messages::change_conflict, present);
     }
     const bool exists = classes_.contains(name);
     if (!exists && !change.has_declare())
@@ -158,7 +159,7 @@
         return invalid(
             messages::problem_overlapping_match, "declare.path_prefix");
     }
-    return refused(messages::change_accepted, revision_.next());
+    return make_result(messages::change_accepted, revision_.next());
 }
 
 messages::change_result configuration_store::validate_routes(
@@ -166,7 +167,7 @@
 {
     if (document.based_on() != routes_.version())
     {
-        return refused(
+        return make_result(
             messages::change_conflict,
             nutmegusher::revision(routes_.version()));
     }
@@ -174,28 +175,29 @@
     {
         return invalid(messages::problem_old_version, "version");
     }
-    return refused(messages::change_accepted, revision_.next());
+    return make_result(messages::change_accepted, revision_.next());
 }
 
 nutmegusher::revision
 configuration_store::class_revision(std::string_view name) const
 {
-    const auto known = classes_.find(name);
-    return known == classes_.end()
+    const auto existing = classes_.find(name);
+    return existing == classes_.end()
                ? nutmegusher::revision()
-               : nutmegusher::revision(known->second.revision());
+               : nutmegusher::revision(existing->second.revision());
 }
 
-// Two classes with the same match would leave open which one a request is of.
+// True if another class has the same match: then the class of a request would
+// be ambiguous.
 bool configuration_store::overlaps(const messages::work_class& declared) const
 {
     return std::any_of(
         classes_.begin(),
         classes_.end(),
-        [&declared](const auto& known)
+        [&declared](const auto& existing)
         {
-            return known.first != declared.name() &&
-                   same_match(known.second, declared);
+            return existing.first != declared.name() &&
+                   same_match(existing.second, declared);
         });
 }
 
@@ -214,8 +216,8 @@
         },
         [this](const std::string& name)
         {
-            const auto known = classes_.find(name);
-            return known == classes_.end() ? nullptr : &known->second;
+            const auto existing = classes_.find(name);
+            return existing == classes_.end() ? nullptr : &existing->second;
         },
         [this](const std::string& name)
         {
@@ -296,11 +298,11 @@
     }
     for (const auto& id : result_order_)
     {
-        const auto& known = results_.at(id);
+        const auto& existing = results_.at(id);
         auto& kept = *state.add_remembered();
         kept.set_change_id(id);
-        kept.set_digest(known.digest);
-        *kept.mutable_answer() = known.answer;
+        kept.set_digest(existing.digest);
+        *kept.mutable_answer() = existing.answer;
     }
     return state.SerializeAsString();
 }
@@ -344,14 +346,14 @@
     auto& classes = *target.mutable_classes();
     const auto find = [&classes](const std::string& name)
     {
-        const auto known = std::find_if(
+        const auto existing = std::find_if(
             classes.begin(),
             classes.end(),
             [&name](const auto& declared)
             {
                 return declared.name() == name;
             });
-        return known == classes.end() ? nullptr : &*known;
+        return existing == classes.end() ? nullptr : &*existing;
     };
     for (const auto& accepted : delta.changes())
     {
@@ -359,8 +361,8 @@
             accepted,
             [&](messages::work_class declared)
             {
-                auto* known = find(declared.name());
-                auto* place = known == nullptr ? classes.Add() : known;
+                auto* existing = find(declared.name());
+                auto* place = existing == nullptr ? classes.Add() : existing;
                 *place = std::move(declared);
             },
             find,
--- a/nutmegusher/control/file_disk.cpp
+++ b/nutmegusher/control/file_disk.cpp
@@ -147,10 +147,10 @@
 
 leaf::result<int> file_disk::open_for_append(std::string_view file)
 {
-    const auto known = open_.find(file);
-    if (known != open_.end())
+    const auto existing = open_.find(file);
+    if (existing != open_.end())
     {
-        return known->second.get();
+        return existing->second.get();
     }
     BOOST_LEAF_CHECK(create_parent(file));
     const auto path = folder_ / file;
@@ -209,11 +209,12 @@
     {
         return fail(storage_fault::write_failed, file, errno);
     }
-    // The old file's descriptor would append to a file without a name.
-    const auto known = open_.find(file);
-    if (known != open_.end())
+    // The open descriptor refers to the replaced file, which has no name any
+    // more.
+    const auto existing = open_.find(file);
+    if (existing != open_.end())
     {
-        open_.erase(known);
+        open_.erase(existing);
     }
     return sync_parent(file);
 }
--- a/nutmegusher/control/freshness_tracker_test.cpp
+++ b/nutmegusher/control/freshness_tracker_test.cpp
@@ -11,43 +11,44 @@
 using std::chrono::seconds;
 
 constexpr time_point start{std::chrono::hours(1)};
-// Above two heartbeats and the round trip of a proof.
+// Longer than two heartbeats and the round trip of a proof.
 constexpr milliseconds max_expected_age{250};
 
 TEST(freshness_tracker, counts_once_the_commit_is_applied)
 {
-    freshness_tracker known;
-    known.add_proof(3, start);
-    known.add_proof(5, start + seconds(1));
-    EXPECT_EQ(known.as_of(), time_point());
-    known.applied(4);
-    EXPECT_EQ(known.as_of(), start);
-    known.applied(5);
-    EXPECT_EQ(known.as_of(), start + seconds(1));
+    freshness_tracker tracker;
+    tracker.add_proof(3, start);
+    tracker.add_proof(5, start + seconds(1));
+    EXPECT_EQ(tracker.as_of(), time_point());
+    tracker.applied(4);
+    EXPECT_EQ(tracker.as_of(), start);
+    tracker.applied(5);
+    EXPECT_EQ(tracker.as_of(), start + seconds(1));
 }
 
 TEST(freshness_tracker, never_goes_back)
 {
-    freshness_tracker known;
-    known.applied(5);
-    known.add_proof(5, start + seconds(1));
-    known.add_proof(4, start);
-    EXPECT_EQ(known.as_of(), start + seconds(1));
+    freshness_tracker tracker;
+    tracker.applied(5);
+    tracker.add_proof(5, start + seconds(1));
+    tracker.add_proof(4, start);
+    EXPECT_EQ(tracker.as_of(), start + seconds(1));
 }
 
-// While thousands of entries arrive the first proofs are the ones to keep.
+// While thousands of entries arrive, the first proofs must be kept: they are
+// reached first.
 TEST(freshness_tracker, moves_on_during_a_long_catch_up)
 {
-    freshness_tracker known;
+    freshness_tracker tracker;
     for (log_index commit = 1; commit <= 1000; ++commit)
     {
-        known.add_proof(commit, start + milliseconds(50 * commit));
+        tracker.add_proof(commit, start + milliseconds(50 * commit));
     }
-    known.applied(10);
-    EXPECT_EQ(known.as_of(), start + milliseconds(500));
-    known.applied(1000);
-    known.add_proof(1000, start + seconds(51));
-    EXPECT_EQ(known.as_of(), start + seconds(51));
+    tracker.applied(10);
+    EXPECT_EQ(tracker.as_of(), start + milliseconds(500));
+    tracker.applied(1000);
+    tracker.add_proof(1000, start + seconds(51));
+    EXPECT_EQ(tracker.as_of(), start + seconds(51));
 }
 
 class group_freshness : public testing::Test
@@ -96,17 +97,17 @@
 
 TEST_F(group_freshness, ages_where_a_host_is_cut_off)
 {
-    auto& cut = follower();
-    hosts.partition({cut.name()});
+    auto& isolated = follower();
+    hosts.partition({isolated.name()});
     hosts.run(seconds(3));
-    EXPECT_GE(age(cut), seconds(3));
+    EXPECT_GE(age(isolated), seconds(3));
     hosts.heal();
     hosts.run(seconds(1));
-    EXPECT_LE(age(cut), max_expected_age);
+    EXPECT_LE(age(isolated), max_expected_age);
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// The leader's heartbeats go on for a while, and prove nothing any more.
+// The leader's heartbeats continue for a while but no longer prove anything.
 TEST_F(group_freshness, ages_with_a_leader_that_lost_its_majority)
 {
     auto& leads = *hosts.leader();
@@ -129,7 +130,8 @@
     EXPECT_EQ(hosts.violation(), "");
 }
 
-// A learner stands for nothing, so nothing else tells it that its leader went.
+// A learner never starts an election, so it must notice the loss of its leader
+// by the timeout alone.
 TEST_F(group_freshness, a_learner_forgets_a_leader_that_went_silent)
 {
     auto members = hosts.all_voters();
@@ -158,15 +160,15 @@
 
 TEST_F(group_freshness, starts_without_a_proof)
 {
-    auto& again = follower();
-    again.crash();
-    ASSERT_TRUE(again.start());
-    EXPECT_EQ(again.running().core().known_current_at(), time_point());
+    auto& restarted = follower();
+    restarted.crash();
+    ASSERT_TRUE(restarted.start());
+    EXPECT_EQ(restarted.running().core().known_current_at(), time_point());
     hosts.run(seconds(1));
-    EXPECT_LE(age(again), max_expected_age);
+    EXPECT_LE(age(restarted), max_expected_age);
 }
 
-// Entries of megabytes for others, and a message may be under way for seconds.
+// Large entries for other hosts (megabytes) can delay a message for seconds.
 TEST_F(group_freshness, is_never_claimed_too_soon_over_slow_messages)
 {
     hosts.faults.max_delay = milliseconds(700);
--- a/nutmegusher/control/replica_rules_test.cpp
+++ b/nutmegusher/control/replica_rules_test.cpp
@@ -1,4 +1,4 @@
-// Rules that chance seldom breaks, one replica at a time.
+// Raft rules that random tests seldom exercise, on a single replica.
 #include "nutmegusher/control/control.hpp"
 
 #include <gtest/gtest.h>
@@ -24,8 +24,8 @@
     return members;
 }
 
-// Replica 1 of three, with an uncommitted entry of term 2 at index 2, which
-// has won the election of term 3.
+// Replica 1 of three. It has an uncommitted entry of term 2 at index 2 and has
+// won the election of term 3.
 class elected_replica : public testing::Test
 {
 protected:
@@ -47,12 +47,12 @@
         core.emplace(std::move(
             replica::create(settings, recovered, engine, start).value()));
         core->tick(now);
-        vote(true);
+        receive_vote(true);
         save();
-        vote(false);
+        receive_vote(false);
     }
 
-    void vote(bool pre_vote)
+    void receive_vote(bool pre_vote)
     {
         messages::replica_message message;
         message.set_from(2);
@@ -63,7 +63,7 @@
         core->step(message, now);
     }
 
-    // Member 2 says that it holds all up to `index`.
+    // Member 2 acknowledges all entries up to `index`.
     void acknowledge(log_index index)
     {
         messages::replica_message message;
@@ -76,8 +76,8 @@
         core->step(message, now);
     }
 
-    // A member hasn't got what stands before an append; its log ends at
-    // `index`.
+    // A member rejects an append because it lacks the previous entry; its log
+    // ends at `index`.
     void reject(log_index index, std::uint64_t member = 2)
     {
         messages::replica_message message;
@@ -92,11 +92,11 @@
 
     void save()
     {
-        static_cast<void>(entries_to_second());
+        static_cast<void>(count_appends_to_second());
     }
 
-    // Saves, and counts the messages with entries that leave for member 2.
-    std::size_t entries_to_second()
+    // Saves, and counts the messages with entries that are sent to member 2.
+    std::size_t count_appends_to_second()
     {
         std::size_t count = 0;
         while (const auto ready = core->take_ready(now))
@@ -112,8 +112,8 @@
         return count;
     }
 
-    // Saves, and counts the messages for member 2 that carry the entry.
-    std::size_t messages_with(log_index index)
+    // Saves, and counts the messages to member 2 that contain the entry.
+    std::size_t count_messages_with(log_index index)
     {
         std::size_t count = 0;
         while (const auto ready = core->take_ready(now))
@@ -132,8 +132,9 @@
         return count;
     }
 
-    // Saves; the bytes of entries that leave for member 2, and the last index.
-    std::pair<std::size_t, log_index> sent_to_second()
+    // Saves, and returns the size of the messages with entries to member 2 and
+    // the last index that they contain.
+    std::pair<std::size_t, log_index> bytes_sent_to_second()
     {
         std::pair<std::size_t, log_index> sent{0, 0};
         while (const auto ready = core->take_ready(now))
@@ -152,8 +153,8 @@
         return sent;
     }
 
-    // Saves, and counts the snapshots that leave for member 3.
-    std::size_t snapshots_to_third()
+    // Saves, and counts the snapshots that are sent to member 3.
+    std::size_t count_snapshots_to_third()
     {
         std::size_t count = 0;
         while (const auto ready = core->take_ready(now))
@@ -168,15 +169,17 @@
         return count;
     }
 
-    // A heartbeat that overtakes the entries before it, `times` in a row.
-    std::size_t entries_while_overtaken(int times, log_index last)
+    // Simulates `times` heartbeats in a row that overtake the entries before
+    // them, so that member 2 rejects them; `last` is the end of its log. Counts
+    // the messages with entries.
+    std::size_t count_appends_while_overtaken(int times, log_index last)
     {
         std::size_t count = 0;
         for (int i = 0; i < times; ++i)
         {
             now += replica_timing().heartbeat;
             core->tick(now);
-            count += entries_to_second();
+            count += count_appends_to_second();
             reject(last);
         }
         return count;
@@ -211,7 +214,7 @@
             });
     }
 
-    messages::replica_set with_fourth(bool voter)
+    messages::replica_set with_fourth_member(bool voter)
     {
         auto members = three_voters();
         auto& added = *members.add_members();
@@ -221,7 +224,7 @@
     }
 
     time_point now = start + std::chrono::seconds(10);
-    // Of the last heartbeat that has left.
+    // The round of the last heartbeat that was sent.
     std::uint64_t round = 0;
     random_engine engine;
     std::optional<replica> core;
@@ -241,16 +244,17 @@
 {
     save();
     EXPECT_EQ(
-        refusal_of(with_fourth(false)), replica_refusal::membership_pending);
+        refusal_of(with_fourth_member(false)),
+        replica_refusal::membership_pending);
     acknowledge(3);
-    EXPECT_EQ(refusal_of(with_fourth(false)), std::nullopt);
+    EXPECT_EQ(refusal_of(with_fourth_member(false)), std::nullopt);
 }
 
 TEST_F(elected_replica, changes_one_membership_at_a_time)
 {
     save();
     acknowledge(3);
-    ASSERT_EQ(refusal_of(with_fourth(false)), std::nullopt);
+    ASSERT_EQ(refusal_of(with_fourth_member(false)), std::nullopt);
     save();
     EXPECT_EQ(refusal_of(three_voters()), replica_refusal::membership_pending);
 }
@@ -259,10 +263,11 @@
 {
     save();
     acknowledge(3);
-    ASSERT_EQ(refusal_of(with_fourth(false)), std::nullopt);
+    ASSERT_EQ(refusal_of(with_fourth_member(false)), std::nullopt);
     save();
     acknowledge(4);
-    EXPECT_EQ(refusal_of(with_fourth(true)), replica_refusal::not_caught_up);
+    EXPECT_EQ(
+        refusal_of(with_fourth_member(true)), replica_refusal::not_caught_up);
 }
 
 TEST_F(elected_replica, changes_one_voter_at_most)
@@ -274,37 +279,37 @@
     EXPECT_EQ(refusal_of(members), replica_refusal::too_many_changes);
 }
 
-// A large entry takes longer than a heartbeat on a line of 86 Mbit/s that four
-// followers share. Sent again at each heartbeat it fills the line, no majority
-// answers in time, and the next leader does the same.
+// On a link of 86 Mbit/s shared by four followers, a large entry takes longer
+// than a heartbeat. If it is sent again at each heartbeat it fills the link, no
+// majority answers in time, and the next leader does the same.
 TEST_F(elected_replica, sends_a_large_entry_once_while_it_may_be_on_its_way)
 {
     save();
     acknowledge(3);
     propose_large();
-    EXPECT_EQ(entries_to_second(), 1U);
-    EXPECT_EQ(entries_while_overtaken(8, 3), 0U);
+    EXPECT_EQ(count_appends_to_second(), 1U);
+    EXPECT_EQ(count_appends_while_overtaken(8, 3), 0U);
     acknowledge(4);
     EXPECT_EQ(core->commit(), 4U);
 }
 
 TEST_F(elected_replica, sends_a_large_entry_once_while_probing)
 {
-    // Member 2 has nothing of what this leader took over.
+    // Member 2 lacks the entry that this leader held before its election.
     save();
     reject(1);
-    EXPECT_EQ(entries_while_overtaken(1, 1), 1U);
+    EXPECT_EQ(count_appends_while_overtaken(1, 1), 1U);
     propose_large();
-    EXPECT_LE(entries_while_overtaken(8, 1), 2U);
+    EXPECT_LE(count_appends_while_overtaken(8, 1), 2U);
 }
 
-// New entries each 20 ms must not put off what the loss of earlier ones asks
-// for: the follower takes none of them before it has those.
+// New entries every 20 ms must not postpone the resend of lost ones: the
+// follower accepts no later entry before it has those.
 TEST_F(elected_replica, sends_lost_entries_again_while_others_follow)
 {
     save();
     acknowledge(3);
-    std::size_t with_first = 0;
+    std::size_t sends_of_first = 0;
     for (int i = 0; i < 50; ++i)
     {
         messages::log_entry entry;
@@ -312,21 +317,22 @@
         ASSERT_TRUE(core->propose(std::move(entry), now));
         now += std::chrono::milliseconds(20);
         core->tick(now);
-        with_first += messages_with(4);
+        sends_of_first += count_messages_with(4);
         reject(3);
     }
-    EXPECT_GE(with_first, 3U);
-    EXPECT_LE(with_first, 10U);
+    EXPECT_GE(sends_of_first, 3U);
+    EXPECT_LE(sends_of_first, 10U);
 }
 
-// A follower that lacks many large entries has as much of them on the way as
-// its line carries in a moment; the rest follows as it answers.
+// A follower that lacks many large entries is sent only what its link carries
+// in a short time; the rest follows as it answers.
 TEST_F(elected_replica, bounds_the_bytes_in_flight_to_one_follower)
 {
     save();
     acknowledge(3);
-    // What a line of the least speed carries in a second, and one entry more.
-    constexpr std::size_t most = 1'000'000 + large_bytes;
+    // What a link of the lowest assumed speed carries in a second, and one
+    // entry.
+    constexpr std::size_t max_bytes = 1'000'000 + large_bytes;
     log_index held = 3;
     for (int i = 0; i < 40; ++i)
     {
@@ -334,16 +340,16 @@
     }
     while (held < 43)
     {
-        const auto [bytes, last] = sent_to_second();
+        const auto [bytes, last] = bytes_sent_to_second();
         ASSERT_GT(last, held);
-        ASSERT_LE(bytes, most);
+        ASSERT_LE(bytes, max_bytes);
         held = last;
         acknowledge(held);
     }
 }
 
-// A second copy of a snapshot on a line that still carries the first one takes
-// the time from both.
+// A second copy of a snapshot, sent while the first one is in flight, slows
+// both down.
 TEST_F(elected_replica, sends_a_large_snapshot_once_while_it_may_be_on_its_way)
 {
     save();
@@ -361,12 +367,12 @@
     core->compact(3);
     reject(1, 3);
     std::size_t snapshots = 0;
-    // 1 MB/s is the least that a line carries.
+    // 1 MB/s is the lowest assumed link speed.
     for (int i = 0; i < 160; ++i)
     {
         now += replica_timing().heartbeat;
         core->tick(now);
-        snapshots += snapshots_to_third();
+        snapshots += count_snapshots_to_third();
         acknowledge(3);
     }
     EXPECT_EQ(snapshots, 1U);
@@ -377,8 +383,8 @@
     save();
     acknowledge(3);
     propose_large();
-    EXPECT_EQ(entries_to_second(), 1U);
-    EXPECT_EQ(entries_while_overtaken(40, 3), 2U);
+    EXPECT_EQ(count_appends_to_second(), 1U);
+    EXPECT_EQ(count_appends_while_overtaken(40, 3), 2U);
     acknowledge(4);
     EXPECT_EQ(core->commit(), 4U);
 }
--- a/nutmegusher/control/route_document_test.cpp
+++ b/nutmegusher/control/route_document_test.cpp
@@ -1,4 +1,4 @@
-// Documents of routes: what is refused, and which of several holds.
+// Route documents: which are refused, and which of several is in force.
 #include "nutmegusher/control/control.hpp"
 
 #include <gtest/gtest.h>
@@ -148,8 +148,8 @@
     EXPECT_EQ(result.problem(), messages::problem_old_version);
 }
 
-// Orders overtake each other: one that builds on a version which isn't there
-// yet is refused, and accepted when it comes again.
+// Documents may arrive out of order: one whose base version isn't present yet
+// is refused, and accepted when it is sent again.
 TEST(route_documents, one_that_came_too_early_may_come_again)
 {
     configuration_store store;
@@ -163,12 +163,12 @@
 {
     configuration_store store;
     store.apply(install("a", document(4, 0)));
-    const auto again = install("b", document(5, 4));
-    store.apply(again);
+    const auto second = install("b", document(5, 4));
+    store.apply(second);
     auto restored = configuration_store::restore(store.snapshot());
     ASSERT_TRUE(restored);
     EXPECT_EQ(restored->present().routes().source(), "as sent 5");
-    EXPECT_EQ(restored->apply(again).verdict(), messages::change_accepted);
+    EXPECT_EQ(restored->apply(second).verdict(), messages::change_accepted);
 
     messages::configuration follower;
     apply_delta(follower, restored->delta_since(revision(0)));
