--- a/nutmegusher/node/async_value.hpp
+++ b/nutmegusher/node/async_value.hpp
@@ -1,4 +1,5 @@
-// One value that one coroutine waits for; for one thread.
+// A single value that one coroutine sets and another one awaits. All on one
+// thread.
 #ifndef NUTMEGUSHER_NODE_ASYNC_VALUE_HPP
 #define NUTMEGUSHER_NODE_ASYNC_VALUE_HPP
 
@@ -27,7 +28,7 @@
     {
     }
 
-    // The first value stays.
+    // Later calls have no effect: the first value stays.
     void set(T value)
     {
         if (!value_)
@@ -37,7 +38,8 @@
         }
     }
 
-    // Nothing where no value has come by the deadline. For one waiter.
+    // Returns nullopt if no value is set by the deadline. Requires: only one
+    // coroutine waits.
     [[nodiscard]] asio::awaitable<std::optional<T>> wait(time_point deadline)
     {
         if (!value_)
--- a/nutmegusher/node/claim_state_machine.hpp
+++ b/nutmegusher/node/claim_state_machine.hpp
@@ -1,4 +1,4 @@
-// The state machines of the control hosts' logs, as `control` wants them.
+// Adapts a claim table to the `state_machine` concept of the package `control`.
 #ifndef NUTMEGUSHER_NODE_CLAIM_STATE_MACHINE_HPP
 #define NUTMEGUSHER_NODE_CLAIM_STATE_MACHINE_HPP
 
@@ -12,7 +12,7 @@
 namespace nutmegusher::node
 {
 
-// A claim table as a `state_machine`.
+// A claim table that is replicated through a log.
 class claim_state_machine
 {
 public:
--- a/nutmegusher/node/control_events.hpp
+++ b/nutmegusher/node/control_events.hpp
@@ -1,4 +1,4 @@
-// The log events of the replicated logs.
+// Writes the log events of the replicated logs.
 #ifndef NUTMEGUSHER_NODE_CONTROL_EVENTS_HPP
 #define NUTMEGUSHER_NODE_CONTROL_EVENTS_HPP
 
@@ -9,7 +9,8 @@
 namespace nutmegusher::node::internal
 {
 
-// `is_leader`: this host, from now on; `was_leader`: this host, until now.
+// `is_leader`: this host leads from now on. `was_leader`: this host led until
+// now.
 void log_leadership(
     std::uint32_t group,
     const leadership& current,
--- a/nutmegusher/node/control_group.hpp
+++ b/nutmegusher/node/control_group.hpp
@@ -1,4 +1,5 @@
-// One replicated group on the logs' thread: who waits for what.
+// One replicated group on the logs' thread, with the coroutines that wait for
+// its proposals and reads.
 #ifndef NUTMEGUSHER_NODE_CONTROL_GROUP_HPP
 #define NUTMEGUSHER_NODE_CONTROL_GROUP_HPP
 
@@ -16,10 +17,11 @@
 namespace nutmegusher::node::internal
 {
 
-// After a disk was full, before the group is opened again.
+// How long a group stays closed after a storage failure, such as a full disk,
+// before it is opened again.
 inline constexpr duration reopen_delay = std::chrono::seconds(1);
 
-// What a group tells the loop that owns it.
+// Callbacks from a group to the loop that owns it.
 template <state_machine Machine>
 struct control_group_hooks
 {
@@ -31,7 +33,7 @@
     std::function<void()> members_changed;
 };
 
-// What a group is opened with.
+// The parameters of a group.
 struct control_group_settings
 {
     replica_settings replica;
@@ -41,8 +43,8 @@
     random_engine* engine;
 };
 
-// Is the `group_listener` of its group. Closed while its storage fails: then
-// nothing is proposed, answered or acknowledged here.
+// Implements `group_listener` for its group. While the storage fails the group
+// is closed: nothing is proposed, answered or acknowledged on this host.
 template <state_machine Machine>
 class control_group
 {
@@ -58,7 +60,7 @@
     {
     }
 
-    // Fails with `storage_failure`.
+    // Errors: `storage_failure`.
     [[nodiscard]] leaf::result<void> open(time_point now)
     {
         BOOST_LEAF_ASSIGN(
@@ -79,7 +81,7 @@
         return settings_.replica.group;
     }
 
-    // nullptr while the group is closed.
+    // Returns nullptr while the group is closed.
     [[nodiscard]] group_type* running()
     {
         return group_.get();
@@ -137,7 +139,8 @@
         }
     }
 
-    // Nothing: it isn't known whether the entry was or will be applied.
+    // Returns nullopt if it is unknown whether the entry was or will be
+    // applied.
     [[nodiscard]] asio::awaitable<std::optional<result_type>>
     propose(messages::log_entry entry, time_point deadline)
     {
@@ -161,8 +164,8 @@
         co_return std::move(*result);
     }
 
-    // The index that a linearizable read must have applied; nothing where this
-    // host isn't confirmed as the leader by the deadline.
+    // Returns the index that a linearizable read must have applied, or nullopt
+    // if this host is not confirmed as the leader by the deadline.
     [[nodiscard]] asio::awaitable<std::optional<log_index>>
     confirm(time_point deadline)
     {
@@ -182,7 +185,7 @@
         co_return *index;
     }
 
-    // False where the index isn't applied here by the deadline.
+    // Returns false if the index is not applied on this host by the deadline.
     [[nodiscard]] asio::awaitable<bool>
     wait_applied(log_index index, time_point deadline)
     {
@@ -200,7 +203,7 @@
         co_return reached.has_value();
     }
 
-    // For `replicated_group`.
+    // The functions below are the `group_listener` interface.
     void send(messages::replica_message message)
     {
         hooks_.send(std::move(message));
@@ -247,13 +250,14 @@
         log_leadership(number(), current, is_leader, was_leader_);
         if (was_leader_ && !is_leader)
         {
-            // They may still be committed: nothing is known.
+            // The proposals may still be committed, so their outcome is
+            // unknown.
             fail_proposals();
         }
         was_leader_ = is_leader;
     }
 
-    // Wakes who waits for what was applied in a turn.
+    // Resumes the coroutines whose entries have been applied.
     void wake_apply_waiters()
     {
         while (group_ && !apply_waiters_.empty() &&
@@ -262,7 +266,8 @@
             apply_waiters_.begin()->second->set(true);
             apply_waiters_.erase(apply_waiters_.begin());
         }
-        // Entries without a result: they lost against a new leader's.
+        // These indexes hold entries of a new leader, so the proposals were
+        // lost and have no result.
         while (group_ && !proposals_.empty() &&
                proposals_.begin()->first <= group_->applied())
         {
@@ -340,7 +345,8 @@
         proposals_.clear();
     }
 
-    // Nobody is told a verdict that may not be durable.
+    // Closes the group, so that no caller receives a verdict that may not be
+    // durable.
     void close(const storage_failure& failure, time_point now)
     {
         log_storage_failed(number(), failure);
@@ -351,8 +357,9 @@
         {
             slot->set(std::nullopt);
         }
-        // After a failed sync the system may have dropped what it couldn't
-        // write; only a new process reads the files as they are.
+        // After a failed sync the operating system may have dropped the data
+        // that it could not write; only a new process reads the files as they
+        // are.
         reopen_at_.reset();
         if (failure.fault != storage_fault::sync_failed)
         {
--- a/nutmegusher/node/control_lag.cpp
+++ b/nutmegusher/node/control_lag.cpp
@@ -1,5 +1,5 @@
-// Log lines on who lacks entries, so that a host that doesn't catch up is seen
-// from both ends.
+// Logs which hosts lack entries, both on the leader and on the lagging host, so
+// that a host that does not catch up is visible from either side.
 #include "nutmegusher/node/control_loop.hpp"
 
 #include <algorithm>
--- a/nutmegusher/node/control_leaders.cpp
+++ b/nutmegusher/node/control_leaders.cpp
@@ -1,4 +1,5 @@
-// Which host leads which group: spread over all, and handed over at a stop.
+// Balances the leadership of the groups over the hosts, and hands it over
+// before a planned stop.
 #include "nutmegusher/node/control_loop.hpp"
 
 #include <algorithm>
@@ -43,7 +44,7 @@
         [] {});
 }
 
-// The voter that would lead at once: active, and nothing is missing there.
+// Returns a voter that could lead at once: it is active and lacks no entries.
 std::optional<replica_id> best_successor(const replica& core, time_point now)
 {
     for (const auto& member : sorted_voters(core))
@@ -59,8 +60,8 @@
 
 } // namespace
 
-// Each claim group is led by another host where all are well, so that the
-// hosts share the work; and it goes back there after a failure has passed.
+// When all hosts are healthy each claim group is led by a different one, so
+// that they share the load. Leadership returns to that host after a failure.
 void control_loop::balance_leaders()
 {
     const auto now = host_clock().now();
@@ -103,7 +104,7 @@
     }
 }
 
-// True while a group is led here and could be led elsewhere.
+// Returns true while this host leads a group that another host could lead.
 bool control_loop::hand_over_groups()
 {
     const auto now = host_clock().now();
--- a/nutmegusher/node/control_logs.cpp
+++ b/nutmegusher/node/control_logs.cpp
@@ -16,15 +16,15 @@
 namespace
 {
 
-// A batch of messages; a snapshot is the largest.
+// A batch of replica messages; the largest one is a snapshot.
 constexpr std::size_t max_batch_bytes = 512 * 1024 * 1024;
-// A change, a claim with its answer, a question.
+// A change, a claim with its stored answer, or a query.
 constexpr std::size_t max_request_bytes = 4 * 1024 * 1024;
 constexpr std::size_t read_chunk_bytes = 16 * 1024;
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_too_large = 413;
 
-// Runs a coroutine on the logs' thread and comes back.
+// Runs a coroutine on the logs' thread and returns its result on the caller's.
 template <class T>
 asio::awaitable<T> run_on_loop(control_loop& loop, asio::awaitable<T> action)
 {
@@ -65,8 +65,8 @@
     }
 }
 
-// The answer to a request that has arrived whole; on the logs' thread. Nothing
-// where the body isn't what the path asks for.
+// Handles a request whose body is complete, on the logs' thread. Returns
+// nullopt if the body is not of the type that the path expects.
 using request_handler = asio::awaitable<std::optional<std::string>> (*)(
     std::shared_ptr<control_loop> loop, std::string body);
 
@@ -170,8 +170,8 @@
     std::size_t limit;
 };
 
-// Below "/control/lead/" nothing is passed on: two hosts that each take the
-// other for the leader don't send a request to and fro.
+// Requests below "/control/lead/" are not forwarded: otherwise two hosts that
+// each take the other for the leader would forward a request back and forth.
 constexpr std::array routes{
     route{internal::raft_path, answer_raft, max_batch_bytes},
     route{"/control/propose", answer_change<true>, max_request_bytes},
--- a/nutmegusher/node/control_logs.hpp
+++ b/nutmegusher/node/control_logs.hpp
@@ -1,8 +1,9 @@
 // The replicated logs on a control host: the configuration and the claims.
 //
-// Drives the groups of the package `control` on one thread over files and
+// Runs the groups of the package `control` on one thread over files and
 // connections. All functions but `create` are safe from every thread; the
-// coroutines run where they are awaited and hop to the logs' own thread.
+// coroutines may be awaited on any executor and switch to the logs' thread
+// internally.
 //
 //     BOOST_LEAF_AUTO(logs, control_logs::create(context, settings));
 //     std::thread thread([&] { context.run(); });
@@ -41,27 +42,28 @@
 {
     std::filesystem::path data_folder;
     host_id self;
-    // Its own peer listener.
+    // The address of this host's peer listener.
     asio::ip::tcp::endpoint address;
-    // The control hosts of the very first start; the first one named founds
-    // the cluster once all the others have answered. Later without meaning.
+    // The control hosts of the first start. The first one listed founds the
+    // cluster once all others have answered. Ignored after that.
     std::vector<named_address> initial;
-    // Peer listeners of some control hosts. Where `initial` is empty and
-    // `bootstrap` is set, these are the founders; later a host that is no voter
-    // asks them, and whoever else it knows, to be made one.
+    // Peer listeners of some control hosts. If `initial` is empty and
+    // `bootstrap` is set, these are the founders. Later a host that is not a
+    // voter asks them, and all other hosts that it knows, to be admitted as
+    // one.
     std::vector<asio::ip::tcp::endpoint> seeds;
-    // The very first start: a cluster may be founded.
+    // Set on the first start only: allows this host to found a cluster.
     bool bootstrap = false;
-    // How many voters the leaders keep by themselves; 0: operators replace
-    // hosts.
+    // The number of voters that the leaders maintain automatically. 0:
+    // operators replace hosts.
     std::size_t voters = 0;
-    // Fixed for ever by the founder.
+    // Set by the founder; cannot be changed later.
     std::uint32_t claim_groups = 4;
     replica_timing timing;
     snapshot_policy snapshots;
 };
 
-// The addresses of the control hosts now.
+// The name and the address of a control host.
 struct control_address
 {
     host_id host;
@@ -72,12 +74,13 @@
 {
     replaced,
     new_host_unreachable,
-    // Another host answers at that address.
+    // A different host answers at that address.
     wrong_host,
-    // The new host's data folder belongs to another cluster; empty it first.
+    // The new host's data folder belongs to another cluster and must be emptied
+    // first.
     foreign_data_folder,
-    // No leader, or the new host doesn't catch up: run the command again, it
-    // goes on where it was.
+    // There is no leader, or the new host does not catch up. Run the command
+    // again: it continues where it stopped.
     timed_out
 };
 
@@ -86,73 +89,79 @@
 class control_logs
 {
 public:
-    // Opens the data folder and starts on `context`, which one thread runs and
-    // which outlives the logs. Fails with `storage_failure`: then nothing has
-    // started.
+    // Opens the data folder and starts on `context`. Requires: one thread runs
+    // the context, which outlives the logs. Errors: `storage_failure`; then
+    // nothing has started.
     [[nodiscard]] static leaf::result<std::unique_ptr<control_logs>>
     create(asio::io_context& context, const control_settings& settings);
 
     control_logs(const control_logs&) = delete;
     control_logs& operator=(const control_logs&) = delete;
-    // Requires: the context's thread has ended, or this is it.
+    // Requires: the context's thread has ended, or is the calling thread.
     ~control_logs();
 
-    // Accepted, or refused for good, by a majority; `change_unavailable` where
-    // it isn't known: resend with the same change id.
+    // Returns the verdict of a majority: accepted, or finally refused. Returns
+    // `change_unavailable` if the outcome is unknown: resend with the same
+    // change id.
     [[nodiscard]] asio::awaitable<messages::change_result>
     propose_change(messages::change change);
 
-    // `claim_unavailable` where the outcome isn't known: resend.
+    // Returns `claim_unavailable` if the outcome is unknown: resend.
     [[nodiscard]] asio::awaitable<messages::claim_result>
     claim(messages::claim_command command);
 
-    // What is known of a key, by a linearizable read; `claim_unavailable`
-    // where no majority answers.
+    // Looks a key up by a linearizable read. Returns `claim_unavailable` if no
+    // majority answers.
     [[nodiscard]] asio::awaitable<messages::claim_result>
     find_claim(messages::claim_key key);
 
-    // Waits until `present` is at least what a majority had accepted when this
-    // was called. False: no majority answers.
+    // Waits until `present` includes everything that a majority had accepted
+    // when this was called. Returns false if no majority answers.
     [[nodiscard]] asio::awaitable<bool> confirm_configuration();
 
-    // What this host has applied; linearizable only after a confirmation.
+    // The state that this host has applied; linearizable only after
+    // `confirm_configuration`.
     [[nodiscard]] revision at() const;
     [[nodiscard]] messages::configuration present() const;
     [[nodiscard]] messages::configuration_delta since(revision from) const;
-    // Oldest first, the newest `limit` ones.
+    // Returns the most recent `limit` changes, oldest first.
     [[nodiscard]] std::vector<messages::accepted_change>
     history(std::size_t limit) const;
 
-    // Called on the logs' thread after each new revision. Set it before the
-    // context runs.
+    // Sets a callback that runs on the logs' thread after each new revision.
+    // Requires: the context does not run yet.
     void on_revision(std::function<void(revision)> notify);
 
-    // By claim group, from 1; nothing where no leader is known.
+    // Returns the leaders of the claim groups, starting with group 1; nullopt
+    // where no leader is known.
     [[nodiscard]] std::vector<std::optional<asio::ip::tcp::endpoint>>
     claim_leaders() const;
 
-    // What this host runs holds all that a majority had accepted at this
-    // moment of the host's clock; the clock's start: nothing is proved yet.
+    // Returns a time on this host's clock: the state of this host includes
+    // everything that a majority had accepted by then. The clock's epoch means
+    // that nothing is proved yet.
     [[nodiscard]] time_point known_current_at() const;
 
-    // The members of the configuration's group.
+    // Returns the members of the configuration's group.
     [[nodiscard]] std::vector<control_address> members() const;
 
-    // Members, leaders, terms and indexes of each log, as of a moment ago.
+    // Returns the members, leaders, terms and indexes of each log, as of the
+    // last status update (about every 100 ms).
     [[nodiscard]] boost::json::value state() const;
 
-    // The repair command: the new host catches up as a learner, becomes a
-    // voter, and the old one is removed, in every group. Idempotent; from any
-    // control host. Both may have one name: a host whose disk was lost.
+    // Replaces a member in every group: the new host catches up as a learner
+    // and becomes a voter, then the old one is removed. Idempotent; may run on
+    // any control host. Both hosts may have the same name, as when a host has
+    // lost its disk.
     [[nodiscard]] asio::awaitable<replace_outcome> replace_member(
         host_id old_host, host_id new_host, asio::ip::tcp::endpoint address);
 
-    // For a planned stop: others lead from now on. Returns when they do, or
-    // after `limit`.
+    // Transfers all leaderships to other hosts before a planned stop. Returns
+    // when that is done, or after `limit`.
     [[nodiscard]] asio::awaitable<void> hand_over(duration limit);
 
-    // Serves the streams of this package below "/control/". False: the path is
-    // none of its own, and nothing was read or written.
+    // Serves the paths of this package below "/control/". Returns false if the
+    // path is another one; then nothing was read or written.
     [[nodiscard]] asio::awaitable<bool>
     handle(std::shared_ptr<wire::server_stream> stream);
 
--- a/nutmegusher/node/control_logs_test.cpp
+++ b/nutmegusher/node/control_logs_test.cpp
@@ -100,7 +100,7 @@
 }
 
 constexpr std::uint64_t wall_ms = 1'700'000'000'000;
-// An attempt's number tells when it was made.
+// An attempt's sequence number contains the time of its creation.
 constexpr std::uint64_t first_sequence = wall_ms
                                          << attempt_sequence::counter_bits;
 
@@ -144,9 +144,9 @@
         change(0, declare("d", "payout")).verdict(), messages::change_conflict);
 }
 
-// The acknowledgement was lost. What was accepted stays accepted, so a host
-// that knows it needs nobody else, and the log gets no second copy of the
-// change.
+// The acknowledgement was lost and the client resends. An accepted change stays
+// accepted, so a host that has applied it answers without a majority and no
+// second copy enters the log.
 TEST_F(control_hosts, a_resend_is_answered_by_any_host_on_its_own)
 {
     ASSERT_EQ(
@@ -216,13 +216,13 @@
     start(0);
     ASSERT_EQ(
         change(1, declare("b", "view")).verdict(), messages::change_accepted);
-    // On its own the emptied host belongs to nothing.
+    // On its own, the host with the emptied folder belongs to no cluster.
     EXPECT_EQ(hosts[0]->logs().present().revision(), 0U);
     const auto outcome = hosts[1]->get(hosts[1]->logs().replace_member(
         host_id("c1"), host_id("c1"), initial[0].address));
     EXPECT_EQ(outcome, replace_outcome::replaced)
         << boost::json::serialize(hosts[1]->logs().state());
-    // Right after the repair a second host is lost.
+    // A second host is lost right after the repair.
     stop(1);
     EXPECT_EQ(change(0, declare("c", "lookup")).revision(), 3U);
     EXPECT_TRUE(hosts[0]->get(hosts[0]->logs().confirm_configuration()));
--- a/nutmegusher/node/control_loop.cpp
+++ b/nutmegusher/node/control_loop.cpp
@@ -13,11 +13,12 @@
 namespace
 {
 
-// A quarter of the shortest heartbeat in use.
+// A quarter of the shortest heartbeat interval in use.
 constexpr duration tick_interval = std::chrono::milliseconds(10);
 constexpr duration status_interval = std::chrono::milliseconds(100);
 
-// Members must be reachable before their membership is committed.
+// Returns whether the message may change the membership. The addresses of new
+// members must be known before their membership is committed.
 bool changes_members(const messages::replica_message& message)
 {
     const auto& entries = message.append().entries();
@@ -177,7 +178,8 @@
         if (now >= next_status)
         {
             next_status = now + status_interval;
-            // Also what is won here while the hand-over is under way.
+            // Includes groups whose leadership this host gains during the
+            // hand-over.
             if (handing_over_)
             {
                 static_cast<void>(hand_over_groups());
@@ -192,7 +194,7 @@
     }
 }
 
-// One turn serves all events that are ready now, with one sync a group.
+// One turn processes all events that are ready, with one disk sync per group.
 void control_loop::schedule_turn()
 {
     if (turn_scheduled_)
--- a/nutmegusher/node/control_loop.hpp
+++ b/nutmegusher/node/control_loop.hpp
@@ -1,5 +1,5 @@
-// The groups, the data folder and the connections of one control host; all of
-// it on one thread.
+// The groups, the data folder and the connections of one control host, all on
+// one thread.
 #ifndef NUTMEGUSHER_NODE_CONTROL_LOOP_HPP
 #define NUTMEGUSHER_NODE_CONTROL_LOOP_HPP
 
@@ -27,14 +27,15 @@
 namespace nutmegusher::node::internal
 {
 
-// What other threads may ask at any time.
+// The state that other threads may read at any time.
 struct control_status
 {
     std::vector<std::optional<asio::ip::tcp::endpoint>> claim_leaders;
     std::vector<control_address> members;
 };
 
-// All coroutines hold the loop by a shared pointer and end soon after `stop`.
+// Every coroutine keeps the loop alive by a shared pointer and ends soon after
+// `stop`.
 class control_loop : public std::enable_shared_from_this<control_loop>
 {
 public:
@@ -46,10 +47,12 @@
         const control_settings& settings,
         file_disk target);
 
-    // Reads the identity and opens the groups. Fails with `storage_failure`.
+    // Reads the host's identity and opens the groups. Errors:
+    // `storage_failure`.
     [[nodiscard]] leaf::result<void> open();
 
-    // Starts the timers and, on a fresh folder, the founding.
+    // Starts the timers and, if the data folder is new, the founding of the
+    // cluster.
     void start();
     void stop();
 
@@ -65,16 +68,17 @@
 
     // Safe from every thread.
     [[nodiscard]] control_status status() const;
-    // See `replica::known_current_at`, of the configuration's log.
+    // Returns `replica::known_current_at` of the configuration's log.
     [[nodiscard]] time_point known_current_at() const
     {
         return time_point(duration(known_current_at_.load()));
     }
 
-    // For operators: much larger than the status, which each sync copies.
+    // For operators. Kept apart from `status`, as it is much larger and each
+    // sync copies the status.
     [[nodiscard]] boost::json::value state() const;
 
-    // Requests; each on the logs' thread. control_requests.cpp
+    // Requests, which run on the logs' thread; see control_requests.cpp.
     asio::awaitable<messages::change_result>
     propose_change(messages::change change, bool forward);
     asio::awaitable<messages::claim_result>
@@ -84,7 +88,7 @@
     asio::awaitable<messages::read_reply> confirm_leader(std::uint32_t group);
     asio::awaitable<std::string> handle_batch(std::string body);
 
-    // control_members.cpp
+    // See control_members.cpp.
     messages::join_reply join(const messages::join_request& request);
     asio::awaitable<replace_outcome>
     replace(host_id old_host, messages::replica_member added);
@@ -93,17 +97,17 @@
     messages::replace_reply
     replace_step(const messages::replace_request& request);
 
-    // control_growth.cpp
+    // See control_voters.cpp.
     asio::awaitable<messages::admit_reply>
     admit(messages::admit_request request, bool forward);
 
-    // control_leaders.cpp
+    // See control_leaders.cpp.
     asio::awaitable<void> hand_over(duration limit);
 
     std::function<void(revision)> notify = [](revision) {};
 
 private:
-    // control_loop.cpp
+    // See control_loop.cpp.
     leaf::result<void> open_groups();
     asio::awaitable<void> run_ticks();
     void schedule_turn();
@@ -115,7 +119,7 @@
     make_claim_group(std::uint32_t number);
     [[nodiscard]] control_group_settings group_settings(std::uint32_t number);
 
-    // Calls `action` with each group; group 0 first.
+    // Calls `action` with each group, group 0 first.
     template <class Action>
     void for_each_group(const Action& action)
     {
@@ -129,7 +133,8 @@
         }
     }
 
-    // Calls `action` with the replica of a group that runs here.
+    // Calls `action` with the replica of a group, if the group is open on this
+    // host.
     template <class Action>
     void with_core(std::uint32_t number, const Action& action)
     {
@@ -143,16 +148,18 @@
             });
     }
 
-    // control_requests.cpp
+    // See control_requests.cpp.
     [[nodiscard]] std::optional<asio::ip::tcp::endpoint>
     leader_address(std::uint32_t group);
     [[nodiscard]] bool leads(std::uint32_t group);
-    // A majority has confirmed it lately: no other host leads the group.
+    // Returns true if a majority has confirmed this host's leadership recently
+    // enough that no other host can lead the group.
     [[nodiscard]] bool leads_with_lease(std::uint32_t group);
-    // The answer that this host has applied for the change's id.
+    // Returns the result that this host has applied for the change's id, if
+    // any.
     [[nodiscard]] std::optional<messages::change_result>
     applied_result(const messages::change& change) const;
-    // Nothing where no leader is known or it doesn't answer.
+    // Returns nullopt if no leader is known or the leader does not answer.
     asio::awaitable<std::optional<std::string>> call_leader(
         std::uint32_t group,
         std::string_view path,
@@ -179,8 +186,9 @@
     read_index(std::uint32_t group, time_point deadline);
     asio::awaitable<void> pause(duration length);
 
-    // control_members.cpp
-    // One of the first voters; its name where it was told.
+    // See control_members.cpp.
+    //
+    // One of the first voters; the name is set if the settings give it.
     struct founder
     {
         std::optional<host_id> host;
@@ -204,7 +212,7 @@
     [[nodiscard]] bool is_seed(const asio::ip::tcp::endpoint& host) const;
     [[nodiscard]] bool is_cluster_founder() const;
 
-    // control_growth.cpp
+    // See control_voters.cpp.
     [[nodiscard]] bool is_settled_voter();
     [[nodiscard]] messages::replica_member own_member() const;
     asio::awaitable<void> ask_for_admission();
@@ -219,15 +227,15 @@
     [[nodiscard]] std::vector<member_view>
     view_members(std::uint32_t number, const replica& core, time_point now);
 
-    // control_lag.cpp
+    // See control_lag.cpp.
     void monitor_lags();
     void monitor_group_lag(const replica& core, time_point now);
 
-    // control_leaders.cpp
+    // See control_leaders.cpp.
     void balance_leaders();
     [[nodiscard]] bool hand_over_groups();
 
-    // control_state.cpp
+    // See control_state.cpp.
     void publish_status();
     [[nodiscard]] boost::json::value describe();
 
@@ -245,22 +253,22 @@
     bool members_changed_ = false;
     bool handing_over_ = false;
     bool stopped_ = false;
-    // Hosts that asked to be voters.
+    // Hosts that asked to be admitted as voters.
     struct admission_candidate
     {
         messages::replica_member member;
         time_point requested_at;
     };
     std::map<std::uint64_t, admission_candidate> candidates_;
-    // While this host is no voter: members that answers told of, and since when
-    // no leader has noted its question.
+    // While this host is not a voter: the members that replies have listed, and
+    // since when no leader has registered its request.
     std::set<asio::ip::tcp::endpoint> reported_members_;
     std::optional<time_point> not_admitted_since_;
     time_point next_admission_log_{};
-    // When each other member was last heard, by group; while this host leads.
+    // When each other member was last active, by group, while this host leads.
     std::map<std::uint32_t, std::map<replica_id, time_point>> last_active_;
-    // Of one group: whether this host lacks entries, and which members do while
-    // this host leads.
+    // The lag of one group: whether this host lacks entries and, while it
+    // leads, which members do.
     struct group_lag_monitors
     {
         lag_watch own;
--- a/nutmegusher/node/control_members.cpp
+++ b/nutmegusher/node/control_members.cpp
@@ -1,4 +1,4 @@
-// Who belongs to the cluster: founding, joining, replacing.
+// Changes which hosts belong to the cluster: founding, joining and replacing.
 #include "nutmegusher/node/control_loop.hpp"
 
 #include <algorithm>
@@ -43,8 +43,8 @@
            settings_.seeds.end();
 }
 
-// The first of the hosts named in `initial`, or the seed with the lowest
-// address: all seeds agree on it, in whatever order they are named.
+// The founder is the first host in `initial`, or the seed with the lowest
+// address, so that all seeds agree whatever the order in which they are listed.
 bool control_loop::is_cluster_founder() const
 {
     if (!settings_.initial.empty())
@@ -56,8 +56,8 @@
                settings_.address;
 }
 
-// By name where there is one: others may reach this host by another address
-// than the one it listens on.
+// Compares by name if there is one, as other hosts may reach this host at an
+// address other than the one it listens on.
 bool control_loop::is_self(const founder& candidate) const
 {
     return candidate.host ? *candidate.host == settings_.self
@@ -81,11 +81,12 @@
     return all;
 }
 
-// The first start. Every other host must answer that it belongs to no cluster
-// before any of them is asked to join, and joining is for ever: so an emptied
-// folder can neither found a second cluster beside a running one nor come back
-// as the voter that it was. Every host writes the first members down itself,
-// so that the group outlives the founder from its first moment.
+// Runs on the first start. Every other host must answer that it belongs to no
+// cluster before any of them is asked to join, and joining cannot be undone. So
+// a host whose data folder was emptied can neither found a second cluster
+// beside a running one nor return as the voter that it was. Every host stores
+// the initial members itself, so the group survives the loss of the founder
+// from the start.
 asio::awaitable<void> control_loop::found_cluster()
 {
     const auto self = shared_from_this();
@@ -110,8 +111,8 @@
     }
 }
 
-// The first members; empty where one of them belongs to another cluster, and
-// nothing while not all have answered.
+// Returns the initial members: empty if one of them belongs to another cluster,
+// nullopt while not all have answered.
 asio::awaitable<std::optional<messages::replica_set>>
 control_loop::query_founders()
 {
@@ -196,8 +197,9 @@
     return reply;
 }
 
-// The files first, then the identity that demands them. Durable before it is
-// answered: only this cluster's messages are taken from then on.
+// Writes the files first, then the identity that requires them. Both are
+// durable before the host replies, as it accepts only this cluster's messages
+// from then on.
 bool control_loop::adopt_cluster(
     std::uint64_t cluster,
     std::uint32_t groups,
@@ -243,7 +245,7 @@
     messages::join_request invitation;
     invitation.set_cluster(identity_.cluster());
     invitation.set_groups(identity_.groups());
-    // A host that has just started may still be taken for unreachable.
+    // A host that has just started may still be considered unreachable.
     const auto join_deadline = host_clock().now() + invitation_timeout;
     auto joined = co_await ask_to_join(*address, invitation);
     while (!joined && !stopped_ && host_clock().now() < join_deadline)
--- a/nutmegusher/node/control_requests.cpp
+++ b/nutmegusher/node/control_requests.cpp
@@ -1,5 +1,5 @@
-// Proposals and reads of one control host: done here where it leads, else
-// passed on to the leader.
+// Proposals and reads on a control host: executed here if it leads the group,
+// otherwise forwarded to the leader.
 #include "nutmegusher/node/claim_client.hpp"
 #include "nutmegusher/node/control_loop.hpp"
 
@@ -12,14 +12,15 @@
 namespace
 {
 
-// An election and a retry fit in twice; then the operator is told.
+// Long enough for two elections with a retry each; after that the operator
+// receives an error.
 constexpr duration change_timeout = std::chrono::seconds(3);
 // The entry daemon tries another control host after 400 ms.
 constexpr duration claim_timeout = std::chrono::seconds(1);
 constexpr duration read_timeout = std::chrono::seconds(2);
-// One try at a leader: it may have become silent.
+// Limits one call to a leader, as it may have become silent.
 constexpr duration forward_timeout = std::chrono::milliseconds(800);
-// Between two tries while nobody leads.
+// Between two attempts while there is no leader.
 constexpr duration retry_pause = std::chrono::milliseconds(30);
 
 messages::change_result unavailable_change()
@@ -121,9 +122,9 @@
     co_return std::move(*answer);
 }
 
-// What is applied here is committed, and an answered change id keeps its
-// answer. Without this each resend of a document of 1,700 routes put half a
-// megabyte into the log once more.
+// An applied entry is committed, so the result for its change id is final.
+// Without this check each resend of a document of 1,700 routes added another
+// half megabyte to the log.
 std::optional<messages::change_result>
 control_loop::applied_result(const messages::change& change) const
 {
@@ -278,7 +279,7 @@
     const auto self = shared_from_this();
     if (!configuration_)
     {
-        // Part of no cluster yet: nobody is kept waiting for that.
+        // This host belongs to no cluster yet, so the caller need not wait.
         co_return false;
     }
     const auto deadline = host_clock().now() + read_timeout;
--- a/nutmegusher/node/control_service.cpp
+++ b/nutmegusher/node/control_service.cpp
@@ -21,7 +21,7 @@
 {
 
 constexpr duration hand_over_limit = std::chrono::seconds(3);
-// What `history` shows at most.
+// The maximum number of changes that `history` returns.
 constexpr std::size_t max_history = 1000;
 constexpr std::string_view sync_path = "/control/sync";
 constexpr std::string_view registry_path = "/control/registry";
@@ -48,7 +48,7 @@
     return made;
 }
 
-// The fields of a replacement's body.
+// The fields of a replacement request's body.
 struct replace_command
 {
     host_id old_host;
@@ -111,7 +111,7 @@
 namespace
 {
 
-// Of its own, as a `file_disk` locks its folder.
+// A separate folder, as a `file_disk` locks the folder that it uses.
 constexpr std::string_view crash_folder = "crashes";
 
 void persist(file_disk& disk, const std::vector<crash_record>& records)
@@ -149,7 +149,7 @@
     asio::io_context context{1};
     asio::executor_work_guard<asio::io_context::executor_type> work_guard;
     std::unique_ptr<control_logs> logs;
-    // Used on `thread` once that runs.
+    // Used only on `thread` once that runs.
     std::optional<file_disk> crash_disk;
     std::unique_ptr<sync_server> syncs;
     std::thread thread;
@@ -162,7 +162,7 @@
     {
         return logs->at();
     };
-    // Daemons have no use for the operator's own bytes.
+    // Daemons do not need the source text that the operator installed.
     source.changes_since = [this](revision from)
     {
         auto delta = logs->since(from);
@@ -191,7 +191,7 @@
     };
     source.persist_crashes = [this](std::vector<crash_record> records)
     {
-        // The disk may take its time.
+        // Written on the logs' thread, as the disk may be slow.
         asio::post(
             context,
             [this, records = std::move(records)]
--- a/nutmegusher/node/control_service.hpp
+++ b/nutmegusher/node/control_service.hpp
@@ -1,5 +1,5 @@
-// What makes a daemon a control host: the replicated logs on a thread of
-// their own, and the exchange with daemons.
+// Makes a daemon a control host: runs the replicated logs on a thread of their
+// own and serves the exchange with daemons.
 #ifndef NUTMEGUSHER_NODE_CONTROL_SERVICE_HPP
 #define NUTMEGUSHER_NODE_CONTROL_SERVICE_HPP
 
@@ -28,18 +28,19 @@
     control_service& operator=(const control_service&) = delete;
     ~control_service();
 
-    // Serves one stream whose path begins with "/control/"; from any worker.
+    // Serves one stream whose path begins with "/control/". Runs on any worker.
     asio::awaitable<void>
     serve(worker& here, std::shared_ptr<wire::server_stream> stream);
 
-    // For a planned stop: others lead from now on.
+    // Transfers the leadership of all groups to other hosts before a planned
+    // stop.
     asio::awaitable<void> hand_over();
 
-    // Answers the syncs that are held. Call it when daemons are told to go
-    // elsewhere: from now on each sync is answered at once.
+    // Answers the syncs that are held, and every later one at once. To be
+    // called when daemons are told to use another control host.
     void release_held_syncs();
 
-    // Ends the thread of the logs.
+    // Stops and joins the thread of the logs.
     void stop();
 
     [[nodiscard]] control_answers answers();
--- a/nutmegusher/node/control_state.cpp
+++ b/nutmegusher/node/control_state.cpp
@@ -1,4 +1,4 @@
-// What other threads and operators see of the logs.
+// The state of the logs as other threads and operators see it.
 #include "nutmegusher/node/control_loop.hpp"
 
 #include <boost/json/array.hpp>
@@ -28,7 +28,8 @@
     return "";
 }
 
-// Identities use all 64 bits, which a JSON number doesn't hold everywhere.
+// Identities use all 64 bits, which JSON numbers do not hold in every
+// implementation.
 json::string identity_text(std::uint64_t identity)
 {
     return json::string(std::to_string(identity));
--- a/nutmegusher/node/control_test_hosts.hpp
+++ b/nutmegusher/node/control_test_hosts.hpp
@@ -1,5 +1,5 @@
-// Control hosts in one process over real files and connections; for tests and
-// benchmarks.
+// Runs control hosts in one process over real files and connections, for tests
+// and benchmarks.
 #ifndef NUTMEGUSHER_NODE_CONTROL_TEST_HOSTS_HPP
 #define NUTMEGUSHER_NODE_CONTROL_TEST_HOSTS_HPP
 
@@ -22,7 +22,7 @@
 namespace nutmegusher::node
 {
 
-// A folder that goes with its owner.
+// A temporary folder that is deleted with this object.
 class scratch_folder
 {
 public:
@@ -50,7 +50,7 @@
     std::filesystem::path path_;
 };
 
-// One control host: its logs and its peer listener, on a thread of their own.
+// One control host with its logs and its peer listener, on a thread of its own.
 class running_host
 {
 public:
@@ -98,7 +98,7 @@
         return context_;
     }
 
-    // Waits for a coroutine that runs on the host's thread.
+    // Runs a coroutine on the host's thread and waits for its result.
     template <class T>
     T get(asio::awaitable<T> action)
     {
@@ -113,8 +113,9 @@
     std::thread thread_;
 };
 
-// A port that was free a moment ago, on an address that other processes' tests
-// and outgoing connections don't use: they could take it before it is used.
+// Returns an address whose port was free a moment ago. Its IP address is unique
+// to this process, so that neither tests in other processes nor outgoing
+// connections take the port before it is used.
 inline asio::ip::tcp::endpoint free_address()
 {
     asio::io_context context;
--- a/nutmegusher/node/control_transport.cpp
+++ b/nutmegusher/node/control_transport.cpp
@@ -13,15 +13,18 @@
 namespace
 {
 
-// A follower's sync included; what takes longer is lost and sent again.
+// Includes the follower's disk sync. A batch that takes longer counts as lost
+// and its contents are sent again.
 constexpr duration batch_timeout = std::chrono::seconds(1);
-// The least that a line carries, on top of it: a time that doesn't grow with
-// the bytes loses what is large whole, each time.
+// The lowest assumed bandwidth; the transfer time is added to the timeout. With
+// a timeout that did not grow with the size, large batches were lost every
+// time.
 constexpr double min_bytes_per_second = 1'000'000;
-// An answer never waits longer: the sender's slot would be taken for nothing.
+// The response to a batch never waits longer, as it would occupy one of the
+// sender's batches in flight for nothing.
 constexpr duration answer_timeout = std::chrono::milliseconds(500);
-// A batch may have one message more than this. Small ones, as a batch arrives
-// or is lost whole.
+// A batch may exceed this by one message. It is small because a batch arrives
+// or is lost as a whole.
 constexpr std::size_t max_batch_bytes = 1024 * 1024;
 
 duration timeout_for(std::size_t bytes)
@@ -107,7 +110,7 @@
     co_return batch ? std::move(*batch) : std::string();
 }
 
-// As many messages as fit; snapshots travel alone, in batches of their own.
+// Takes as many messages as fit. Each snapshot travels in a batch of its own.
 std::string control_transport::dequeue_batch(peer& from, bool with_snapshots)
 {
     messages::replica_batch batch;
--- a/nutmegusher/node/control_transport.hpp
+++ b/nutmegusher/node/control_transport.hpp
@@ -1,4 +1,4 @@
-// The messages of all groups to the other control hosts: one batch a host.
+// Sends the messages of all groups to the other control hosts, batched by host.
 #ifndef NUTMEGUSHER_NODE_CONTROL_TRANSPORT_HPP
 #define NUTMEGUSHER_NODE_CONTROL_TRANSPORT_HPP
 
@@ -23,40 +23,43 @@
 
 inline constexpr std::string_view raft_path = "/control/raft";
 
-// Batches to one host that wait for their answers at once. More than one, so
-// that entries flow while a follower syncs the ones before.
+// The maximum number of batches to one host that await their response. More
+// than one, so that entries keep flowing while a follower syncs the previous
+// ones.
 inline constexpr std::size_t max_batches_in_flight = 4;
 
-// Messages to one host that wait to be sent; more are dropped, as the log
-// expects of a network.
+// The maximum number of messages to one host that wait to be sent; further ones
+// are dropped, as the replication protocol tolerates loss.
 inline constexpr std::size_t max_queued_messages = 4096;
 
-// For the logs' thread. The answers of a follower travel back in the response
-// to the batch that they answer, which spares a second stream.
+// Used on the logs' thread. A follower's replies travel in the response to the
+// batch that they answer, which avoids a second stream.
 class control_transport
 {
 public:
     using endpoint = asio::ip::tcp::endpoint;
-    // Takes the messages that came back in a response.
+    // Receives the messages that came back in a response.
     using receiver = std::function<void(const messages::replica_batch&)>;
 
     control_transport(asio::io_context& context, receiver receive);
 
-    // From now on batches carry this cluster, and others' are dropped.
+    // Sets the cluster that batches carry; batches of other clusters are
+    // dropped.
     void join(std::uint64_t cluster);
 
-    // Where a member can be reached.
+    // Records the addresses of the members.
     void update_addresses(const messages::replica_set& members);
     [[nodiscard]] std::optional<endpoint> find(replica_id id) const;
 
-    // Queues; sent by `flush`.
+    // Queues a message; `flush` sends it.
     void post(messages::replica_message message);
 
-    // Sends what is queued: answers to those that wait for one, the rest as
-    // batches of our own.
+    // Sends the queued messages: in the responses that are being awaited, and
+    // the rest in batches of this host's own.
     void flush();
 
-    // Waits for the next `flush`, and gives what is queued for `from` then.
+    // Waits for the next `flush` and returns the messages that are queued for
+    // `from` at that time.
     [[nodiscard]] asio::awaitable<std::string> answer(replica_id from);
 
     [[nodiscard]] wire::session_pool& sessions()
@@ -85,7 +88,7 @@
     std::map<replica_id, peer> peers_;
 };
 
-// "ip:port".
+// Formats the address as "ip:port".
 [[nodiscard]] std::string to_text(const asio::ip::tcp::endpoint& address);
 
 } // namespace nutmegusher::node::internal
--- a/nutmegusher/node/control_voters.cpp
+++ b/nutmegusher/node/control_voters.cpp
@@ -1,5 +1,5 @@
-// Voters without an operator: hosts ask to become one, and leaders bring the
-// groups to their number of voters.
+// Maintains the voters without an operator: hosts ask to be admitted, and
+// leaders bring their groups to the configured number of voters.
 #include "nutmegusher/node/control_loop.hpp"
 
 #include <algorithm>
@@ -12,24 +12,25 @@
 namespace
 {
 
-// Between two questions of a host that is no voter yet.
+// Between two admission requests of a host that is not a voter yet.
 constexpr duration admission_interval = std::chrono::milliseconds(250);
 constexpr duration admission_timeout = std::chrono::milliseconds(500);
-// A founder is left this long to found the cluster, before a host that was
-// named as one asks others whether there is a cluster already.
+// A seed waits this long for the cluster to be founded before it asks other
+// hosts whether there already is one.
 constexpr duration founding_delay = std::chrono::seconds(5);
-// A host that asked is a candidate for so long; it asks again several times
-// within it.
+// How long a host remains a candidate after its last request. It repeats the
+// request several times within this time.
 constexpr duration candidate_lifetime = std::chrono::seconds(2);
-// A voter that has known no leader for so long asks as well: it may have been
-// removed while it was cut off.
+// A voter that has known no leader for this long asks as well: it may have been
+// removed while it was partitioned.
 constexpr duration leaderless_limit = std::chrono::seconds(2);
 
-// A host that no leader has taken up by then is told of in the log, and every
-// so often after it: others are back within two seconds.
+// A host that no leader has registered by then writes a log event, and repeats
+// it at the interval below. Normally a host is admitted within two seconds.
 constexpr duration admission_log_after = std::chrono::seconds(3);
 constexpr duration admission_log_interval = std::chrono::seconds(10);
-// Of other hosts, as answers told; a cluster has 23 control hosts at most.
+// Limits the members that replies may report; a cluster has 23 control hosts at
+// most.
 constexpr std::size_t max_reported_members = 64;
 
 bool contains_voter(const messages::replica_set& members, std::uint64_t id)
@@ -45,7 +46,7 @@
 
 } // namespace
 
-// Whether this host votes in each log and hears of a leader.
+// Returns whether this host votes in each log and has recently known a leader.
 bool control_loop::is_settled_voter()
 {
     if (identity_.cluster() == 0 || !configuration_)
@@ -92,7 +93,8 @@
     }
 }
 
-// Seeds, and members of whom this host knows or was told; each once.
+// Returns the seeds and all members that this host knows or that replies have
+// reported, without duplicates.
 std::vector<asio::ip::tcp::endpoint> control_loop::admission_hosts() const
 {
     std::set<asio::ip::tcp::endpoint> hosts(
@@ -106,12 +108,12 @@
     return {hosts.begin(), hosts.end()};
 }
 
-// Asks until a leader has noted the question.
+// Asks one host after the other until a leader has registered the request.
 //
 // Pattern of failure: two hosts lose their disks at once, and each is the first
-// that the other asks. Both know the cluster's number, neither is a member. An
-// answer that told no more than the number ended the round: the leader heard of
-// neither for the rest of the day, and the next loss took the majority.
+// one that the other asks. Both know the cluster's number, but neither is a
+// member. When a reply with nothing but that number ended the round, the leader
+// never learned of the two hosts, and the next loss cost the majority.
 asio::awaitable<void> control_loop::ask_all_for_admission()
 {
     std::string answers;
@@ -144,7 +146,7 @@
     log_not_admitted(answers);
 }
 
-// True where a leader has noted the question.
+// Returns true if a leader has registered the request.
 bool control_loop::apply_admission_reply(const messages::admit_reply& reply)
 {
     for (const auto& text : reply.members())
@@ -226,7 +228,7 @@
     co_return reply;
 }
 
-// Each leader's turn; called several times a second.
+// Maintains the groups that this host leads; called several times a second.
 void control_loop::maintain_voters()
 {
     if (settings_.voters == 0 || handing_over_)
@@ -282,7 +284,7 @@
             BOOST_LEAF_CHECK(core.propose_members(*std::move(next), now));
             return {};
         },
-        // Refused for now; the next turn looks again.
+        // Refused for now; the next call tries again.
         [] {});
     members_changed_ = true;
     schedule_turn();
--- a/nutmegusher/node/control_voters_test.cpp
+++ b/nutmegusher/node/control_voters_test.cpp
@@ -1,5 +1,5 @@
-// Control hosts that find each other by three seeds and keep their number of
-// voters without an operator.
+// Control hosts that find each other through three seeds and maintain their
+// number of voters without an operator.
 #include "nutmegusher/node/control_test_hosts.hpp"
 
 #include <gtest/gtest.h>
@@ -60,7 +60,7 @@
         return condition();
     }
 
-    // Voters as the host sees them, each on a running host's identity.
+    // Counts the voters as this host sees them.
     std::size_t voters_at(std::size_t number)
     {
         const auto state = hosts[number]->logs().state();
@@ -117,7 +117,7 @@
 
 TEST_F(growing_cluster, three_seeds_found_it_and_the_others_become_voters)
 {
-    // One seed comes late, and the hosts in no order.
+    // The hosts start in no particular order, and one seed starts late.
     for (const std::size_t number : {4, 1, 3, 0})
     {
         start(number, true);
@@ -133,8 +133,8 @@
     EXPECT_EQ(install(4, 1), messages::change_accepted);
 }
 
-// A seed is killed before the others have come, and starts again with the
-// folder that it has.
+// A seed is killed before the other hosts have started, and restarts with the
+// same data folder.
 TEST_F(growing_cluster, a_seed_that_restarts_before_the_founding_takes_part)
 {
     start(0, true);
@@ -156,8 +156,8 @@
     EXPECT_EQ(install(0, 1), messages::change_accepted);
 }
 
-// A seed is killed right after the founding, and comes back without the word
-// that this is the first start: it belongs to the cluster that there is.
+// A seed is killed right after the founding and restarts without the bootstrap
+// setting: it must rejoin the existing cluster.
 TEST_F(growing_cluster, a_seed_that_restarts_after_the_founding_founds_no_other)
 {
     for (const std::size_t number : {0, 1, 2})
@@ -182,8 +182,8 @@
         }));
 }
 
-// Two disks are lost at once, then the rest lose their processes: what was
-// acknowledged is there, and the group has five voters again.
+// Two hosts lose their disks at once, then the others lose their processes. All
+// acknowledged changes must survive, and the group must have five voters again.
 TEST_F(growing_cluster, two_wiped_hosts_come_back_as_new_voters)
 {
     for (std::size_t i = 0; i < host_count; ++i)
@@ -212,13 +212,13 @@
         {
             return all_report(host_count);
         }));
-    // What is applied here may lag by a heartbeat; a confirmed read may not.
+    // The applied state may lag by a heartbeat; a confirmed read must not.
     EXPECT_TRUE(hosts[0]->get(hosts[0]->logs().confirm_configuration()));
     EXPECT_EQ(hosts[0]->logs().present().routes().source(), "document 2");
 }
 
-// Whichever two lose their disks, seeds or not: both are voters again, also
-// where each is the first host that the other asks.
+// Any two hosts lose their disks, seeds or not. Both must become voters again,
+// even if each is the first host that the other asks.
 class wiped_pair
     : public growing_cluster,
       public testing::WithParamInterface<std::pair<std::size_t, std::size_t>>
