--- a/nutmegusher/node/sync_client.cpp
+++ b/nutmegusher/node/sync_client.cpp
@@ -17,16 +17,16 @@
 
 constexpr auto as_tuple_awaitable = asio::as_tuple(asio::use_awaitable);
 
-// How long a control host may hold a sync without news: half of the lease's
-// renewal interval, so that one lost exchange costs no lease.
+// How long a control host may hold a sync if there are no updates: half of the
+// lease's renewal interval, so that one lost exchange does not cost the lease.
 constexpr duration poll_wait = std::chrono::seconds(1);
-// On top of it, before the control host counts as failed; also without another
-// piece of an answer that has begun.
+// Added to that before the control host counts as failed. Also the longest
+// pause between two chunks of a reply.
 constexpr duration answer_timeout = std::chrono::milliseconds(1500);
-// A reply that tells of an earlier moment comes from a host that isn't current.
-// Above what a control host holds syncs on, by the way of the answer.
+// A reply whose state is older than this comes from a host that is not current.
+// Larger than `max_hold_age` by the travel time of the reply.
 constexpr duration max_accepted_age = std::chrono::milliseconds(1200);
-// So many others are asked beside the poll at a time.
+// The maximum number of hedge requests in flight beside the poll.
 constexpr std::size_t max_hedges_in_flight = 2;
 constexpr std::size_t chunk_bytes = 16384;
 constexpr std::size_t max_reply_bytes = 64 * 1024 * 1024;
@@ -122,7 +122,8 @@
     }
     if (session && !poll_abandoned_)
     {
-        // With what has happened while the session was opened.
+        // The request is built now, so that it includes changes made while the
+        // session was opened.
         has_unsent_changes_ = false;
         request = make_request(true);
         reply = co_await exchange(*session, request, poll_);
@@ -147,7 +148,8 @@
              {"control_host", target.address}});
         worker_.shared.upstream.go_before(reply->known_incarnation());
     }
-    // One that isn't current still knows leases, but may have missed changes.
+    // A host that is not current still knows the leases, but may have missed
+    // configuration changes.
     if (is_current)
     {
         schedule_.succeeded(host_clock().now(), worker_.random);
@@ -205,7 +207,7 @@
     }
     --hedges_in_flight_;
     const auto now = host_clock().now();
-    // The poll, or another question, may have brought newer knowledge.
+    // The poll, or another hedge, may already have brought newer state.
     const bool was_stale = hedges_.is_stale(now);
     const bool is_current =
         reply && reply->accepted() && apply_configuration(*reply, sent_at);
@@ -222,8 +224,8 @@
     }
 }
 
-// The poll's late answer counts no more: its list of upstreams builds on what
-// its sender told before.
+// Ignores the reply of the poll in flight: its list of upstreams is a delta
+// against earlier replies of the host that is being left.
 void sync_client::abandon_poll()
 {
     poll_abandoned_ = polling_;
@@ -296,12 +298,14 @@
     while (sent && answer && answer->status == 200 &&
            text.size() <= max_reply_bytes)
     {
-        // For each piece: one limit for the whole of a large configuration lost
-        // it each time where many daemons start beside one control host.
+        // The timeout applies to each chunk. One timeout for a whole large
+        // configuration expired every time when many daemons started beside one
+        // control host.
         open->expire_after(answer_timeout);
         if (!is_age_known())
         {
-            // Others asked meanwhile would send it a second time.
+            // Restarts the hedge timer, as another control host would send the
+            // same large configuration again.
             hedges_.request_sent(host_clock().now());
         }
         const auto read_size = co_await open->read_some(chunk);
@@ -353,8 +357,9 @@
 bool sync_client::apply_configuration(
     const messages::sync_reply& reply, time_point sent_at)
 {
-    // A process that starts runs nothing rather than what may be older than
-    // what it ran before: control hosts that start with it replay their logs.
+    // A process that starts without a configuration must not apply one older
+    // than the one it ran before: control hosts that start at the same time are
+    // still replaying their logs.
     if (!confirmed_ && !reply.linearizable())
     {
         return false;
@@ -415,7 +420,7 @@
     }
 }
 
-// All wanted services, also empty ones: a service without upstreams is known.
+// Includes services without upstreams, so that they are known to be empty.
 void sync_client::update_routes()
 {
     messages::sync_request subscribed;
--- a/nutmegusher/node/sync_client.hpp
+++ b/nutmegusher/node/sync_client.hpp
@@ -1,12 +1,12 @@
 // The daemon's exchange with one control host at a time: its lease, its
-// upstream's announcement, the services that it needs, and what it runs. One
-// long poll a time carries all of it.
+// upstream's announcement, the services that it needs and the configuration
+// revision that it runs. A single long poll carries all of it.
 //
-// Each reply tells up to when its sender is proved to know all that was
-// accepted. Nothing else counts as being in touch: not an open session, nor a
-// poll that is held. Once the daemon's own knowledge is old it asks others
-// beside the poll, and moves to the first that knows more. Meanwhile, and while
-// nobody does, it serves on with what it has.
+// Each reply states up to when the control host provably knows everything that
+// was accepted. Nothing else proves contact: neither an open session nor a poll
+// that is held. When the daemon's own state is too old, it sends hedge requests
+// to other control hosts beside the poll and switches to the first one that is
+// more current. Until then it continues to serve with the state that it has.
 #ifndef NUTMEGUSHER_NODE_SYNC_CLIENT_HPP
 #define NUTMEGUSHER_NODE_SYNC_CLIENT_HPP
 
@@ -32,25 +32,27 @@
     // Runs on the worker `owner`, which must outlive it.
     explicit sync_client(worker& owner);
 
-    // Syncs until `stop`. A daemon without control serves on with what it has.
+    // Syncs until `stop`. Returns at once if no control hosts are configured;
+    // the daemon then serves with the state that it has.
     asio::awaitable<void> run();
 
-    // Asks others when what is known here is old, until `stop`.
+    // Sends hedge requests when the local state is too old, until `stop`.
     asio::awaitable<void> monitor_age();
 
-    // Ends the running poll, so that news of this daemon go out now. On the
-    // worker's thread.
+    // Cancels the poll in flight, so that local changes are sent at once.
+    // Requires: called on the worker's thread.
     void sync_now();
 
     void stop();
 
-    // True once a control host has confirmed the configuration by a majority.
+    // Returns true once a control host has sent a configuration that a majority
+    // confirmed.
     [[nodiscard]] bool started() const
     {
         return confirmed_;
     }
 
-    // What the last sync told; safe from every thread.
+    // Describes the last sync, for operators. Safe from every thread.
     [[nodiscard]] boost::json::value dump() const;
 
 private:
@@ -58,17 +60,19 @@
 
     asio::awaitable<void> sync_with(const control_host& target);
     asio::awaitable<void> send_hedge(control_host target);
-    // Null where there is none.
+    // Returns nullptr if there is no session.
     asio::awaitable<session_pointer> session_with(endpoint at);
-    // The stream is in `open` while the answer is waited for.
+    // While the reply is awaited, `open` holds the stream, so that it can be
+    // cancelled.
     asio::awaitable<std::optional<messages::sync_reply>> exchange(
         wire::client_session& session,
         const messages::sync_request& request,
         std::unique_ptr<wire::client_stream>& open);
-    // `may_wait`: the control host may hold it until there is news.
+    // `may_wait`: the control host may hold the request until there are
+    // updates.
     [[nodiscard]] messages::sync_request make_request(bool may_wait);
-    // False where the reply's sender doesn't know what is current. The first
-    // one is taken only where a majority has confirmed it.
+    // Returns false if the control host is not current. The first configuration
+    // is applied only if a majority has confirmed it.
     bool
     apply_configuration(const messages::sync_reply& reply, time_point sent_at);
     void apply_members(
@@ -76,7 +80,7 @@
         const messages::sync_reply& reply);
     void abandon_poll();
     void update_age();
-    // Some control host has told up to when it is current.
+    // Returns whether any reply has stated up to when it is current.
     [[nodiscard]] bool is_age_known() const;
     void apply_control_hosts(const messages::sync_reply& reply);
     void update_routes();
@@ -93,14 +97,14 @@
     std::unique_ptr<wire::client_stream> poll_;
     bool confirmed_ = false;
     bool stopped_ = false;
-    // Set while something changed that the control host wasn't told yet.
+    // There are local changes that were not sent to the control host yet.
     bool has_unsent_changes_ = true;
-    // A poll's exchange is under way, and whether its answer still counts.
+    // Whether a poll is in flight, and whether its reply is to be ignored.
     bool polling_ = false;
     bool poll_abandoned_ = false;
     std::size_t hedges_in_flight_ = 0;
 
-    // For the dump.
+    // For `dump`.
     mutable std::mutex mutex_;
     std::string control_address_;
     // The control host that answered last.
--- a/nutmegusher/node/sync_client_test.cpp
+++ b/nutmegusher/node/sync_client_test.cpp
@@ -1,4 +1,5 @@
-// The daemon's side of a sync, against control hosts that answer as told.
+// Tests the daemon's side of a sync against control hosts with scripted
+// replies.
 #include "nutmegusher/base/base.hpp"
 #include "nutmegusher/node/sync_client.hpp"
 
@@ -26,8 +27,8 @@
 
 const endpoint any_port(asio::ip::address_v4::loopback(), 0);
 
-// The body of the first request in what a session's client has sent; empty
-// until it has come whole.
+// Returns the body of the first request in the bytes that an HTTP/2 client has
+// sent; empty until it is complete.
 std::string first_body(std::string_view sent)
 {
     constexpr std::size_t preface_bytes = 24;
@@ -62,7 +63,7 @@
 {
 protected:
     using stream_pointer = std::shared_ptr<wire::server_stream>;
-    // By the host's number.
+    // Called with the number of the control host that received the request.
     using script = std::function<asio::awaitable<void>(
         std::size_t, messages::sync_request, stream_pointer)>;
 
@@ -94,7 +95,7 @@
             worker_->context, client_->monitor_age(), asio::detached);
     }
 
-    // False where it didn't come about.
+    // Returns false if the condition was not met within the limit.
     bool run_until(const std::function<bool()>& done)
     {
         const auto limit = host_clock().now() + test_limit;
@@ -108,7 +109,7 @@
         return done();
     }
 
-    // What was heard of the upstream on the daemon's host.
+    // Announces an upstream on the daemon's host.
     void announce()
     {
         announcement message;
@@ -118,7 +119,7 @@
         client_->sync_now();
     }
 
-    // The only control host ends; the test listens in its place.
+    // Stops the only control host and listens at its address in its place.
     tcp::acceptor replace_control_host()
     {
         const auto address = servers_.front()->local_endpoint();
@@ -188,9 +189,10 @@
     std::optional<sync_client> client_;
 };
 
-// Many daemons start at once beside one control host, and each gets a whole
-// configuration: it takes longer than an answer without news may, and was given
-// up and begun again each time.
+// Guards against an endless restart: many daemons start at once beside one
+// control host and each downloads a full configuration, which takes longer than
+// a reply without updates may. The transfer was aborted and begun again each
+// time.
 TEST_F(scripted_control_hosts, an_answer_that_arrives_slowly_is_taken)
 {
     std::size_t asked = 0;
@@ -221,8 +223,8 @@
     EXPECT_EQ(asked, 1U);
 }
 
-// The control host that holds the poll goes silent, or its answer is lost, and
-// another one knows a newer configuration.
+// The control host that holds the poll becomes silent, or its reply is lost,
+// while another one has a newer configuration.
 TEST_F(scripted_control_hosts, a_daemon_asks_another_one_before_its_poll_ends)
 {
     std::optional<std::size_t> silent;
@@ -252,12 +254,13 @@
         {
             return running_revision() == 2;
         }));
-    // The poll's own time, after which it would have asked elsewhere anyway.
+    // Shorter than the poll's own timeout, after which the daemon would have
+    // asked another host anyway.
     EXPECT_LT(host_clock().now() - silent_since, milliseconds(2500));
 }
 
-// All control hosts and the daemon start together; the hosts replay their logs
-// before they know what is current. The daemon ran revision 9 before.
+// All control hosts and the daemon start together. The hosts replay their logs
+// before they know what is current; the daemon ran revision 9 before.
 TEST_F(scripted_control_hosts, a_daemon_that_starts_takes_nothing_old)
 {
     std::size_t asked = 0;
@@ -286,7 +289,7 @@
     EXPECT_GT(asked, 5U);
 }
 
-// Its host answers all the while, and says that it isn't current.
+// The control host keeps answering, but reports that it is not current.
 TEST_F(scripted_control_hosts, a_daemon_leaves_one_that_is_behind)
 {
     std::optional<std::size_t> behind;
@@ -308,8 +311,8 @@
         }));
 }
 
-// News of the upstream come while the session is opened: a poll without them is
-// held.
+// The upstream announces itself while the session is being opened. A poll
+// without that announcement would be held.
 TEST_F(scripted_control_hosts, the_poll_tells_what_happened_while_it_connected)
 {
     std::size_t held = 0;
--- a/nutmegusher/node/sync_server.cpp
+++ b/nutmegusher/node/sync_server.cpp
@@ -20,15 +20,16 @@
 
 constexpr auto as_tuple_awaitable = asio::as_tuple(asio::use_awaitable);
 
-// Between two exchanges with one other control host: a new upstream is known
-// everywhere within twice of it.
+// Between two exchanges with another control host. A new upstream is known on
+// all control hosts within twice this time.
 constexpr duration exchange_interval = std::chrono::milliseconds(100);
 constexpr duration exchange_timeout = std::chrono::milliseconds(500);
-// The clock has moved on by then.
+// Added to a deadline, so that the clock has passed it when the timer fires.
 constexpr duration clock_resolution = std::chrono::milliseconds(1);
 constexpr std::size_t chunk_bytes = 16384;
 constexpr std::size_t max_request_bytes = 1024 * 1024;
-// A daemon can't make a control host hold its sync for longer.
+// The maximum time that a control host holds a sync, whatever the daemon asks
+// for.
 constexpr duration max_wait = std::chrono::seconds(5);
 
 asio::awaitable<std::optional<std::string>>
@@ -80,7 +81,7 @@
 
 } // namespace
 
-// A sync that is held until there is news.
+// A sync that is held until there are updates.
 struct sync_server::waiter
 {
     explicit waiter(const asio::any_io_executor& on)
@@ -190,8 +191,8 @@
     {
         notify();
     }
-    // Who can't be sure says so at once: a daemon that starts has others to
-    // ask.
+    // A host that is not current answers at once: a daemon that starts can ask
+    // others.
     const bool may_confirm = request.linearizable() && !is_stale(arrived);
     if (may_confirm)
     {
@@ -200,7 +201,8 @@
     const duration wait = std::chrono::milliseconds(request.wait_ms());
     const auto until = host_clock().now() + std::min(wait, max_wait);
     co_await wait_for_news(request, until);
-    // Before the delta is made, which may then hold more and never less.
+    // Read before the delta is built, which may then contain more but never
+    // less.
     const auto confirmed = reply.linearizable() ? arrived : time_point();
     const auto current_at = std::max(source_.known_current_at(), confirmed);
     reply.set_current_after_ms(
@@ -333,7 +335,8 @@
     }
     while (host_clock().now() < until && !has_news(request))
     {
-        // A sync isn't held on knowledge that has become old meanwhile.
+        // A sync is not held any longer once this host's state has become too
+        // old.
         const auto old_at =
             source_.known_current_at() + max_hold_age + clock_resolution;
         own_waiter->timer.expires_at(std::min(until, old_at));
@@ -360,7 +363,8 @@
     {
         for (auto& other : source_.control_hosts())
         {
-            // One that doesn't answer must not hold up the others.
+            // Exchanges run concurrently, so that a host that does not answer
+            // does not delay the others.
             if (other.host() != self_.str() && begin_exchange(other.host()))
             {
                 asio::co_spawn(
--- a/nutmegusher/node/sync_server.hpp
+++ b/nutmegusher/node/sync_server.hpp
@@ -1,5 +1,5 @@
-// A control host's side of the exchange with daemons, and with the other
-// control hosts about their leases.
+// A control host's side of the exchange with daemons, and of the exchange of
+// leases with the other control hosts.
 #ifndef NUTMEGUSHER_NODE_SYNC_SERVER_HPP
 #define NUTMEGUSHER_NODE_SYNC_SERVER_HPP
 
@@ -27,32 +27,32 @@
 
 namespace asio = boost::asio;
 
-// What the sync needs of the replicated logs; each is safe from every thread.
+// Access to the replicated logs. Each function is safe from every thread.
 struct control_source
 {
     std::function<revision()> present;
     std::function<messages::configuration_delta(revision)> changes_since;
-    // Waits until what this host runs is known to be the latest that a
-    // majority has accepted. False: no majority answers.
+    // Waits until this host's configuration is known to include everything that
+    // a majority has accepted. Returns false if no majority answers.
     std::function<asio::awaitable<bool>()> confirm;
-    // ip:port of the leaders by claim group, empty where unknown.
+    // "ip:port" of the leaders by claim group; empty where unknown.
     std::function<std::vector<std::string>()> claim_leaders;
     std::function<std::vector<messages::control_host>()> control_hosts;
-    // What this host has is all that a majority had accepted at that moment of
-    // its clock.
+    // Returns a time on this host's clock: its state includes everything that a
+    // majority had accepted by then.
     std::function<time_point()> known_current_at;
-    // Keeps the requests in quarantine beyond this run.
+    // Stores the quarantined requests, so that they survive a restart.
     std::function<void(std::vector<crash_record>)> persist_crashes =
         [](const std::vector<crash_record>&) {};
 };
 
-// How old a control host's knowledge may be while it holds syncs; then it ends
-// them, so that daemons ask elsewhere.
+// The maximum age of a control host's state while it holds syncs. Beyond it the
+// host answers them, so that daemons ask another host.
 //
-// Above an election, after which a host knows anew: 0.1 s on the users' slowest
-// disks and 0.4 s more where votes were split. A change that others accept
-// meanwhile is due at its daemons 2 s after, so these must have moved long
-// before.
+// It must be longer than an election, after which a host is current again: 0.1
+// s on the users' slowest disks, and 0.4 s more if votes were split. A change
+// that other hosts accept meanwhile must be in force at the daemons 2 s later,
+// so these must have switched well before that.
 inline constexpr duration max_hold_age = std::chrono::milliseconds(700);
 
 // Safe from every thread.
@@ -68,16 +68,16 @@
     asio::awaitable<void>
     serve(const std::shared_ptr<wire::server_stream>& stream);
 
-    // Wakes the syncs that wait: the configuration has changed.
+    // Wakes the held syncs after a change of the configuration.
     void notify();
 
-    // Exchanges leases with the other control hosts until `stop`; runs on the
+    // Exchanges leases with the other control hosts until `stop`. Runs on the
     // thread of `peers`.
     asio::awaitable<void> exchange_leases(wire::session_pool& peers);
 
     void stop();
 
-    // What was kept by an earlier run.
+    // Restores the records that an earlier run stored.
     void restore(std::span<const crash_record> persisted);
 
     // See `crash_tracker`.
@@ -98,11 +98,11 @@
     [[nodiscard]] bool is_stale(time_point now) const;
     asio::awaitable<void>
     exchange_with(wire::session_pool& peers, messages::control_host other);
-    // False where an exchange with that host is still under way.
+    // Returns false if an exchange with that host is still in flight.
     bool begin_exchange(const std::string& host);
     void end_exchange(const std::string& host);
 
-    // The services whose crash records the daemon needs.
+    // Returns the services whose crash records the daemon needs.
     [[nodiscard]] static std::vector<std::string>
     crash_services(const messages::sync_request& request);
     [[nodiscard]] std::uint64_t
@@ -113,12 +113,13 @@
         const messages::sync_request& request,
         messages::sync_reply& reply) const;
     void persist_crashes();
-    // True: something of it was new.
+    // Returns true if any of the records was new.
     bool merge_crashes(
         const google::protobuf::RepeatedPtrField<messages::crash_record>&
             records);
 
-    // What another control host has told of crashes.
+    // The last crash stamp received from another control host, and the run that
+    // issued it.
     struct crash_position
     {
         std::uint64_t epoch = 0;
@@ -126,7 +127,7 @@
     };
 
     const host_id self_;
-    // Names this run to others, as stamps are its own.
+    // Identifies this run to others, as stamps are valid only within a run.
     const std::uint64_t crash_epoch_;
     const control_source source_;
     mutable std::mutex mutex_;
@@ -134,7 +135,7 @@
     std::vector<std::weak_ptr<waiter>> waiters_;
     std::set<std::string> exchanging_;
     crash_evidence crashes_;
-    // Those that were kept last.
+    // Digests of the records that were stored last.
     std::set<std::uint64_t> persisted_digests_;
     std::map<std::string, crash_position> crash_positions_;
     bool stopped_ = false;
--- a/nutmegusher/node/sync_server_test.cpp
+++ b/nutmegusher/node/sync_server_test.cpp
@@ -1,4 +1,4 @@
-// Syncs that a control host holds.
+// Tests the syncs that a control host holds.
 #include "nutmegusher/node/control_test_hosts.hpp"
 #include "nutmegusher/node/sync_server.hpp"
 
@@ -14,10 +14,10 @@
 namespace
 {
 
-// As long as a control host holds a sync at most.
+// The maximum time that a control host holds a sync.
 constexpr std::chrono::seconds max_hold{5};
 
-// A control host's sync on a listener, without replicated logs.
+// A sync server on a listener, without replicated logs.
 class held_sync : public testing::Test
 {
 protected:
@@ -76,7 +76,8 @@
         return made;
     }
 
-    // With what an earlier reply told, so that there is no news.
+    // Sends a sync with the state of an earlier reply, so that there are no
+    // updates.
     std::future<std::optional<messages::sync_reply>>
     sync(const messages::sync_reply& known)
     {
@@ -121,9 +122,10 @@
     std::thread thread;
 };
 
-// A control host whose disk was lost came back behind a long log. It heard of a
-// leader all the while, so it held the syncs of the daemons beside it, whose
-// configuration was 15 s old by then. It had 6 revisions, the others 92:
+// Guards against holding syncs on old state: a control host that had lost its
+// disk rejoined far behind a long log. It still heard from a leader, so it kept
+// holding the syncs of its daemons, whose configuration was 15 s old by then.
+// The host was at revision 6, the others at 92:
 //
 //     46.33 s  control_change_accepted revision=5   (the host)
 //     37.69 s  configuration_in_force revision=87   (a daemon; its last line)
@@ -157,7 +159,7 @@
     EXPECT_LE(after, -2 * max_hold_age);
 }
 
-// The age counts from the arrival of the request, not from the answer.
+// The age is relative to the arrival of the request, not to the reply.
 TEST_F(held_sync, reports_up_to_when_its_host_is_current)
 {
     const auto first = sync({}).get();
@@ -171,7 +173,8 @@
         std::chrono::milliseconds(max_hold - std::chrono::seconds(1)).count());
 }
 
-// A daemon that has seen an upstream end, and one that calls the service.
+// One daemon observes a crash of an upstream, and another one calls the
+// service.
 class crash_syncs : public held_sync
 {
 protected:
@@ -236,7 +239,7 @@
     registry = exchange("d2", "payouts", caller).get().value();
     EXPECT_EQ(registry.crashes_size(), 0);
     caller.on_reply(last_request, registry);
-    // It calls it from now on: what was told before matters too.
+    // From now on the daemon calls the service, so earlier records matter too.
     registry = exchange("d2", "views", caller).get().value();
     EXPECT_EQ(registry.crashes_size(), 1);
 }
