--- a/nutmegusher/node/configuration_age_test.cpp
+++ b/nutmegusher/node/configuration_age_test.cpp
@@ -1,9 +1,9 @@
-// A group of control hosts with daemons, over random series of losses. A change
-// that was accepted is in force at each daemon in time once nothing was broken
-// for a while, whatever its control hosts lack; and what a daemon claims to be
-// current is.
+// Simulates a group of control hosts with daemons under random faults. Once the
+// system has been free of faults for a while, each daemon must run an accepted
+// change in time, however far its control hosts lag. A daemon that claims to be
+// current must be current.
 //
-// The group is the one that ships, as are the schedules of the daemons; the
+// The replicated group and the daemons' schedules are the production code; the
 // exchange between them is a model of `sync_server` and `sync_client`.
 //
 //     NUTMEGUSHER_SERIES=500 NUTMEGUSHER_SEED=7
@@ -30,7 +30,8 @@
 
 constexpr std::size_t host_count = 5;
 constexpr std::size_t daemon_count = 6;
-// The users' bound on a change, and how long nothing must have been broken.
+// The users' bound for a change to take effect, and how long the system must
+// have been free of faults before that bound is checked.
 constexpr seconds in_force_within{2};
 constexpr seconds stable_after{3};
 constexpr milliseconds poll_wait{1000};
@@ -42,23 +43,23 @@
 constexpr double normal_bandwidth = 5'000'000;
 constexpr double slow_bandwidth = 100'000;
 
-// One question of a daemon to a control host.
+// A sync request in flight from a daemon to a control host.
 struct sync_attempt
 {
     std::size_t at = 0;
     bool is_poll = true;
     time_point until;
     time_point given_up_at;
-    // The host was lost with it, or its answer was.
+    // The host crashed while it held the request, or the reply was lost.
     bool is_lost = false;
 };
 
 struct network
 {
     cluster* hosts;
-    // By daemon and host.
+    // Broken connections, by daemon and host.
     std::array<std::array<bool, host_count>, daemon_count> cut{};
-    // The next answer to each daemon is lost.
+    // By daemon: its next reply is lost.
     std::array<bool, daemon_count> loses_next_answer{};
 };
 
@@ -96,18 +97,19 @@
         return hedges_.current_at();
     }
 
-    // What it waits for, for a failure's message.
+    // The daemon's requests in flight, for the message of a failed check.
     [[nodiscard]] std::string describe(time_point now) const
     {
-        std::string text = "; knows " + to_text(now - current_at()) + " ago";
+        std::string text =
+            "; current as of " + to_text(now - current_at()) + " ago";
         for (const auto& each : pending_)
         {
-            text += each.is_poll ? "; polls " : "; asks ";
-            text += std::to_string(each.at) + ", gives up in " +
+            text += each.is_poll ? "; polling host " : "; hedging to host ";
+            text += std::to_string(each.at) + ", times out in " +
                     to_text(each.given_up_at - now) +
                     (each.is_lost ? ", lost" : "");
         }
-        return text + "; asks others in " + to_text(hedges_.due() - now);
+        return text + "; next hedge in " + to_text(hedges_.due() - now);
     }
 
     static std::string to_text(duration length)
@@ -116,7 +118,7 @@
         return std::to_string(ms.count()) + " ms";
     }
 
-    // What was asked of this host is lost with it.
+    // Marks requests to this host as lost, as it has crashed.
     void lose(std::size_t at)
     {
         for (auto& each : pending_)
@@ -297,7 +299,7 @@
         hosts_.line = control_test::network_line{normal_bandwidth};
     }
 
-    // Empty where all held.
+    // Returns an empty string if all checks pass.
     std::string run(seconds length)
     {
         const auto end = hosts_.now + length;
@@ -394,7 +396,8 @@
         }
     }
 
-    // That host falls behind for good, and hears of its leader all the while.
+    // Limits the bandwidth to this host, so that it lags permanently while it
+    // still hears from its leader.
     void slow_down(std::size_t number)
     {
         hosts_.line->only_to = hosts_.hosts[number].name();
@@ -418,7 +421,8 @@
         return hosts_.now + milliseconds(200 + random_below(3000));
     }
 
-    // Frozen, killed, or killed with its disk; two at most at a time.
+    // Freezes the host, kills it, or kills it and loses its disk. At most two
+    // hosts are broken at a time.
     void break_host(std::size_t number)
     {
         auto& broken = hosts_.hosts[number];
@@ -495,7 +499,9 @@
             const auto who = "daemon " + std::to_string(number);
             if (each.items() < acknowledged_before(each.current_at()))
             {
-                failure_ = who + " claims to be current and lacks an item";
+                failure_ =
+                    who +
+                    " claims to be current but lacks an acknowledged item";
             }
             else if (is_stable && each.items() < due)
             {
@@ -528,9 +534,10 @@
     return text == nullptr ? default_value : std::stoull(text);
 }
 
-// A daemon whose host went silent while it was time to go back to another one:
-// the failure counted against that one, and the silent one was asked four times
-// more. "polls 4, gives up in 1847 ms, lost; asks others in 471 ms".
+// A daemon's control host became silent just when the daemon was due to return
+// to its preferred host. The timeout was counted against the preferred host, so
+// the silent host was polled four more times. The daemon's state at the time:
+// polling host 4, times out in 1847 ms, lost; next hedge in 471 ms.
 TEST(configuration_age, a_silent_host_is_left_while_a_return_is_due)
 {
     for (const std::uint64_t seed : {1038, 1172})
--- a/nutmegusher/node/configuration_cache.hpp
+++ b/nutmegusher/node/configuration_cache.hpp
@@ -1,4 +1,4 @@
-// The configuration as this host has applied it, for every thread.
+// A copy of the configuration that this host has applied, for all threads.
 #ifndef NUTMEGUSHER_NODE_CONFIGURATION_CACHE_HPP
 #define NUTMEGUSHER_NODE_CONFIGURATION_CACHE_HPP
 
@@ -11,14 +11,14 @@
 namespace nutmegusher::node::internal
 {
 
-// A copy beside the state machine, so that readers never wait for a sync of
-// the disk. Only ever moves to a higher revision.
+// Kept apart from the state machine, so that readers never wait while the disk
+// syncs. The revision never decreases.
 class configuration_cache
 {
 public:
     void accept(const messages::accepted_change& accepted);
 
-    // After a start or a snapshot.
+    // Replaces the copy after a start or an installed snapshot.
     void restore(const configuration_store& store);
 
     [[nodiscard]] revision at() const;
@@ -30,7 +30,8 @@
 private:
     mutable std::mutex mutex_;
     messages::configuration present_;
-    // The newest change has the revision of `present_`.
+    // The most recent changes, oldest first; the last one has the revision of
+    // `present_`.
     std::deque<messages::accepted_change> history_;
     std::size_t history_limit_ = configuration_limits().history;
 };
--- a/nutmegusher/node/configuration_controller.cpp
+++ b/nutmegusher/node/configuration_controller.cpp
@@ -26,7 +26,7 @@
     return entry;
 }
 
-// The path below the service: "/pay" of "/disbursement/pay?x=1".
+// Returns the path below the service: "/pay" of "/disbursement/pay?x=1".
 std::string_view path_below_service(std::string_view path)
 {
     const auto slash = path.find('/', 1);
--- a/nutmegusher/node/configuration_controller.hpp
+++ b/nutmegusher/node/configuration_controller.hpp
@@ -1,5 +1,5 @@
 // The configuration that this process runs: one immutable snapshot at a time,
-// which only ever moves to a higher revision.
+// whose revision never decreases.
 //
 //     const auto now = configuration.current();
 //     const class_entry* found = now->match("POST", "/disbursement/pay");
@@ -24,7 +24,7 @@
 namespace nutmegusher::node
 {
 
-// One declared class, as decisions use it.
+// A declared class of work, in the form that requests are matched against.
 struct class_entry
 {
     class_name id;
@@ -39,11 +39,11 @@
     std::uint64_t hash = 0;
 };
 
-// All classes at one revision.
+// All classes and routes at one revision.
 class configuration_view
 {
 public:
-    // Requires: the message was accepted by the control hosts.
+    // Requires: `from` was accepted by the control hosts.
     explicit configuration_view(const messages::configuration& from);
 
     [[nodiscard]] revision at() const
@@ -51,15 +51,15 @@
         return revision_;
     }
 
-    // The class of a request; nullptr where none matches. `path` starts with
-    // "/<service>"; the longest prefix wins, and of two equally long ones the
+    // Returns the class of a request, or nullptr if none matches. `path` starts
+    // with "/<service>". The longest prefix wins; of two equally long ones, the
     // one that names the method.
     [[nodiscard]] const class_entry*
     match(std::string_view method, std::string_view path) const;
 
     [[nodiscard]] const class_entry* find(const class_name& id) const;
 
-    // Whether any class names the service.
+    // Returns whether any class names the service.
     [[nodiscard]] bool knows_service(std::string_view service) const;
 
     [[nodiscard]] const route_table& routes() const
@@ -80,10 +80,12 @@
     std::unordered_map<std::string, std::vector<std::size_t>> by_service_;
 };
 
-// "disbursement" of "/disbursement/pay?x=1".
+// Returns the service in a request path: "disbursement" of
+// "/disbursement/pay?x=1".
 [[nodiscard]] std::string_view service_in_path(std::string_view path);
 
-// The configuration after `delta`; `from` where the delta doesn't follow it.
+// Returns the configuration after `delta`, or `from` if the delta does not
+// continue from its revision.
 [[nodiscard]] messages::configuration apply_delta(
     const messages::configuration& from,
     const messages::configuration_delta& delta);
@@ -95,8 +97,8 @@
 
     [[nodiscard]] std::shared_ptr<const configuration_view> current() const;
 
-    // Moves to a higher revision; anything else changes nothing. True if it
-    // moved.
+    // Applies the delta if it leads to a higher revision and returns true;
+    // otherwise changes nothing and returns false.
     bool accept(const messages::configuration_delta& delta);
 
 private:
--- a/nutmegusher/node/configuration_controller_test.cpp
+++ b/nutmegusher/node/configuration_controller_test.cpp
@@ -69,7 +69,7 @@
 {
     configuration_controller controller;
     controller.accept(declare_at(1, declared("a", "", "/")));
-    // What an operator's next change of the class is based on.
+    // The revision that an operator's next change of the class refers to.
     const auto class_revision = [&controller]
     {
         return controller.current()->message().classes(0).revision();
--- a/nutmegusher/node/crash_store.hpp
+++ b/nutmegusher/node/crash_store.hpp
@@ -1,6 +1,6 @@
-// What a control host keeps on its disk of requests that end upstreams: those
-// in quarantine, so that a loss of all power doesn't cost further upstreams.
-// Suspects aren't kept.
+// Stores on a control host's disk which requests are in quarantine because they
+// crash upstreams, so that a total power loss does not cost further upstreams.
+// Requests that are only suspected are not stored.
 #ifndef NUTMEGUSHER_NODE_CRASH_STORE_HPP
 #define NUTMEGUSHER_NODE_CRASH_STORE_HPP
 
@@ -18,18 +18,20 @@
 
 inline constexpr std::string_view crash_file = "quarantine";
 
-// `wall_ms`: milliseconds since 1970; a host's clocks don't outlive it.
+// Encodes the records with their ages. `wall_ms`: milliseconds since 1970, as
+// the host's monotonic clock does not survive a restart.
 [[nodiscard]] std::string encode_crashes(
     std::span<const crash_record> records,
     time_point now,
     std::uint64_t wall_ms);
 
-// Ages grow by the time since it was written; a clock that was set back adds
-// none. Nothing where the bytes can't be read: evidence can be gathered anew.
+// Decodes the records and adds the time since they were written to their ages;
+// a wall clock that was set back adds none. Returns no records if the bytes are
+// damaged, as evidence can be collected again.
 [[nodiscard]] std::vector<crash_record>
 decode_crashes(std::string_view bytes, time_point now, std::uint64_t wall_ms);
 
-// Replaces what was kept. Errors: `storage_failure`.
+// Replaces the stored records. Errors: `storage_failure`.
 template <disk Disk>
 leaf::result<void> save_crashes(
     Disk& target,
@@ -40,7 +42,7 @@
     return target.replace(crash_file, encode_crashes(records, now, wall_ms));
 }
 
-// Errors: `storage_failure` where the disk can't be read.
+// Errors: `storage_failure` if the disk cannot be read.
 template <disk Disk>
 leaf::result<std::vector<crash_record>>
 load_crashes(Disk& from, time_point now, std::uint64_t wall_ms)
--- a/nutmegusher/node/crash_store_test.cpp
+++ b/nutmegusher/node/crash_store_test.cpp
@@ -57,7 +57,7 @@
 {
     auto disk = open_disk();
     ASSERT_TRUE(save_crashes(disk, one_record(), now, wall_ms));
-    // Another start: its clocks begin anew.
+    // After a restart the monotonic clock begins at another value.
     constexpr time_point later{std::chrono::seconds(50)};
     const auto kept = load_crashes(disk, later, wall_ms + 5000);
     ASSERT_TRUE(kept);
--- a/nutmegusher/node/crash_tracker.cpp
+++ b/nutmegusher/node/crash_tracker.cpp
@@ -17,9 +17,9 @@
 constexpr std::size_t digest_digits = 16;
 constexpr int hexadecimal = 16;
 constexpr duration expiry_interval = std::chrono::seconds(5);
-// Records in one message.
+// The maximum number of records in one message.
 constexpr std::size_t max_records_per_request = 64;
-// What comes from outside is no older than this.
+// Ages from other hosts are capped at this.
 constexpr std::uint64_t max_age_ms = 24ULL * 3600 * 1000;
 
 std::uint64_t to_age(time_point then, time_point now)
@@ -34,7 +34,7 @@
     return now - milliseconds(std::min(age_ms, max_age_ms));
 }
 
-// In the order of `services_`, whatever the order of the request.
+// Returns the services of the request, sorted, to be compared with `services_`.
 std::vector<std::string> services_in(const messages::sync_request& request)
 {
     std::vector<std::string> services(
@@ -307,7 +307,8 @@
             break;
         }
     }
-    // Another service is wanted: what was told of the others isn't enough.
+    // If the daemon needs another service, the records received so far are not
+    // enough, so it asks for all of them.
     const bool same = services_in(request) == services_;
     request.set_known_crash_stamp(same ? known_stamp_ : 0);
     request.set_crash_epoch(epoch_);
@@ -328,13 +329,14 @@
         const bool has_crashes = evidence_.assess(record.digest, now).ends > 0;
         if (!record.ends.empty() && !has_crashes)
         {
-            // It has completed here since.
+            // A request of this kind has completed here since the reported
+            // crash.
             queue_record(record.digest);
         }
     }
     if (reply.crash_epoch() != epoch_)
     {
-        // Another control host, or one that has forgotten.
+        // Another control host, or one that has restarted and lost its records.
         epoch_ = reply.crash_epoch();
         queue_all_records();
     }
--- a/nutmegusher/node/crash_tracker.hpp
+++ b/nutmegusher/node/crash_tracker.hpp
@@ -1,6 +1,6 @@
-// What this process knows of requests that end upstreams, for all its threads:
-// what its own upstream does to it, what others have told, and what is still to
-// be told.
+// What this process knows of requests that crash upstreams: the crashes of its
+// own upstream, the reports of other daemons, and the records that are still to
+// be sent to the control host. Safe from every thread.
 #ifndef NUTMEGUSHER_NODE_CRASH_TRACKER_HPP
 #define NUTMEGUSHER_NODE_CRASH_TRACKER_HPP
 
@@ -23,14 +23,14 @@
 namespace nutmegusher::node
 {
 
-// Ages are counted from `now`.
+// Times are converted to and from ages relative to `now`.
 [[nodiscard]] messages::crash_record
 to_message(const crash_record& from, time_point now);
 [[nodiscard]] crash_record
 from_message(const messages::crash_record& from, time_point now);
 
-// Adds to `to` the records that have changed since the stamp and are about one
-// of the services; without services: all.
+// Adds to `to` the records that have changed since the stamp and concern one of
+// the services. If `services` is empty, all services match.
 void add_records(
     const crash_evidence& evidence,
     std::uint64_t since,
@@ -38,7 +38,7 @@
     time_point now,
     google::protobuf::RepeatedPtrField<messages::crash_record>& to);
 
-// As operators read and write a digest: 16 hexadecimal digits.
+// Digests as operators read and write them: 16 hexadecimal digits.
 [[nodiscard]] std::string digest_text(std::uint64_t digest);
 [[nodiscard]] std::optional<std::uint64_t> parse_digest(std::string_view text);
 
@@ -49,51 +49,56 @@
     crash_tracker(const crash_tracker&) = delete;
     crash_tracker& operator=(const crash_tracker&) = delete;
 
-    // Where a request enters.
+    // Returns the crash evidence against a request. Called at the entry.
     [[nodiscard]] crash_assessment assess(std::uint64_t digest) const;
 
-    // False where such a request is at work for this entry already: of one that
-    // is known from two ends or more, one at a time.
+    // Returns false if a request of the same digest, which is known to have
+    // crashed at least two upstreams, is already in flight from this entry:
+    // only one at a time is admitted.
     [[nodiscard]] bool begin_suspect(std::uint64_t digest);
     void end_suspect(std::uint64_t digest);
 
-    // An upstream has ended under the request, as the daemon beside it told.
+    // Records that an upstream crashed while it ran the request, as reported by
+    // the daemon beside the upstream.
     void record_crash(
         std::uint64_t digest,
         std::uint64_t upstream,
         duration ran_for,
         const service_name& service);
 
-    // Beside the upstream: a run, and how it ended.
+    // Tracks a run of a request on this host's own upstream: begin, and one of
+    // three outcomes.
     [[nodiscard]] in_flight_requests::ticket begin_run(std::uint64_t digest);
     void complete_run(in_flight_requests::ticket run, std::uint64_t digest);
     void discard_run(in_flight_requests::ticket run);
     void mark_run_lost(in_flight_requests::ticket run);
 
-    // The upstream of that name (`upstream`: hash of it and its start) has
-    // ended: whatever was at work there is suspected. Only the first call for
-    // an upstream counts.
+    // Records that the upstream with that name has crashed, and suspects all
+    // requests that were in flight there. `upstream`: a hash of the name and
+    // its start. Only the first call for an upstream counts.
     void on_upstream_crashed(
         std::uint64_t upstream,
         const std::string& id,
         const service_name& service);
 
-    // With a control host. `fill_request` adds what it wasn't told yet;
-    // `on_reply` takes what it told, and counts what it was told in `request`.
-    // True: there is more to tell.
+    // Exchange with a control host. `fill_request` adds the records that have
+    // not been acknowledged yet. `on_reply` merges the records of the reply and
+    // counts those in `request` as acknowledged; it returns true if more are to
+    // be sent.
     void fill_request(messages::sync_request& request) const;
     bool on_reply(
         const messages::sync_request& request,
         const messages::sync_reply& reply);
 
-    // Something is to be told; called without the lock. Set before the workers
-    // run.
+    // Called, without the lock held, when there are records to send. Requires:
+    // set before the workers run.
     std::function<void()> on_change = [] {};
 
-    // For operators. `release`: false where nothing is known of it.
+    // For operators. `release` returns false if there is no record of the
+    // digest.
     [[nodiscard]] std::vector<crash_record> quarantined() const;
     bool release(std::uint64_t digest);
-    // Records, suspects included.
+    // Returns the number of records, including those that are only suspected.
     [[nodiscard]] std::size_t size() const;
 
 private:
@@ -106,15 +111,16 @@
     crash_evidence evidence_;
     in_flight_requests runs_;
     std::multiset<std::uint64_t> suspects_;
-    // The upstream that ended last.
+    // The upstream that crashed last.
     std::uint64_t last_crashed_upstream_ = 0;
-    // Digests of records to tell, by their number.
+    // Digests of the records to send, by sequence number.
     std::map<std::uint64_t, std::uint64_t> unsent_;
     std::uint64_t last_unsent_ = 0;
-    // What the control host has told, and which run of it.
+    // The last stamp received from the control host, and the run of the control
+    // host that issued it.
     std::uint64_t known_stamp_ = 0;
     std::uint64_t epoch_ = 0;
-    // The services that it told of.
+    // The services whose records have been received.
     std::vector<std::string> services_;
     time_point next_expiry_;
 };
--- a/nutmegusher/node/crash_tracker_test.cpp
+++ b/nutmegusher/node/crash_tracker_test.cpp
@@ -44,7 +44,7 @@
     simulate_crash(watch, 1);
     EXPECT_EQ(notifications, 1);
     EXPECT_EQ(filled_request(watch).crashes_size(), 1);
-    // The exchange was lost.
+    // The first exchange was lost.
     const auto again = filled_request(watch);
     EXPECT_EQ(again.crashes_size(), 1);
     watch.on_reply(again, reply_of(0));
