--- a/nutmegusher/node/configuration_age_test.cpp
+++ b/nutmegusher/node/configuration_age_test.cpp
@@ -32,7 +32,7 @@
 constexpr std::size_t daemon_count = 6;
 // The users' bound for a change to take effect, and how long the system must
 // have been free of faults before that bound is checked.
-constexpr seconds in_force_within{2};
+constexpr seconds max_change_delay{2};
 constexpr seconds stable_after{3};
 constexpr milliseconds poll_wait{1000};
 constexpr milliseconds answer_timeout{1500};
@@ -48,8 +48,8 @@
 {
     std::size_t at = 0;
     bool is_poll = true;
-    time_point until;
-    time_point given_up_at;
+    time_point hold_until;
+    time_point times_out_at;
     // The host crashed while it held the request, or the reply was lost.
     bool is_lost = false;
 };
@@ -66,16 +66,17 @@
 class daemon_model
 {
 public:
-    daemon_model(std::size_t number, network& net, std::uint64_t seed)
+    daemon_model(
+        std::size_t number, network& shared_network, std::uint64_t seed)
         : number_(number)
-        , net_(net)
+        , network_(shared_network)
         , random_(seed)
-        , schedule_(host_id("d" + std::to_string(number)), here())
+        , schedule_(host_id("d" + std::to_string(number)), own_locality())
     {
         std::vector<control_host> all;
         for (std::size_t at = 0; at < host_count; ++at)
         {
-            all.push_back({name_of(at), name_of(at).str(), here()});
+            all.push_back({name_of(at), name_of(at).str(), own_locality()});
         }
         schedule_.set_hosts(all);
     }
@@ -106,7 +107,7 @@
         {
             text += each.is_poll ? "; polling host " : "; hedging to host ";
             text += std::to_string(each.at) + ", times out in " +
-                    to_text(each.given_up_at - now) +
+                    to_text(each.times_out_at - now) +
                     (each.is_lost ? ", lost" : "");
         }
         return text + "; next hedge in " + to_text(hedges_.due() - now);
@@ -119,7 +120,7 @@
     }
 
     // Marks requests to this host as lost, as it has crashed.
-    void lose(std::size_t at)
+    void lose_requests_to(std::size_t at)
     {
         for (auto& each : pending_)
         {
@@ -134,7 +135,7 @@
         time_point current_at;
     };
 
-    static locality here()
+    static locality own_locality()
     {
         return {data_center_name("a"), region_name("r")};
     }
@@ -184,10 +185,10 @@
         sync_attempt attempt;
         attempt.at = static_cast<std::size_t>(std::stoul(to.host.str()));
         attempt.is_poll = is_poll;
-        const bool waits = is_poll && items_ > 0;
-        attempt.until = waits ? now + poll_wait : now;
-        attempt.given_up_at = attempt.until + answer_timeout;
-        attempt.is_lost = !net_.hosts->hosts[attempt.at].up();
+        const bool may_wait = is_poll && items_ > 0;
+        attempt.hold_until = may_wait ? now + poll_wait : now;
+        attempt.times_out_at = attempt.hold_until + answer_timeout;
+        attempt.is_lost = !network_.hosts->hosts[attempt.at].up();
         pending_.push_back(attempt);
     }
 
@@ -196,17 +197,18 @@
         const auto waiting = std::exchange(pending_, {});
         for (const auto& attempt : waiting)
         {
-            auto got = reply_to(attempt, now);
-            if (got && std::exchange(net_.loses_next_answer[number_], false))
+            auto received = reply_to(attempt, now);
+            if (received &&
+                std::exchange(network_.loses_next_answer[number_], false))
             {
-                got.reset();
+                received.reset();
                 pending_.push_back(attempt);
                 pending_.back().is_lost = true;
                 continue;
             }
-            if (got || now >= attempt.given_up_at)
+            if (received || now >= attempt.times_out_at)
             {
-                apply_reply(attempt, got, now);
+                apply_reply(attempt, received, now);
             }
             else
             {
@@ -227,35 +229,35 @@
     std::optional<reply>
     reply_to(const sync_attempt& attempt, time_point now) const
     {
-        auto& at = net_.hosts->hosts[attempt.at];
+        auto& at = network_.hosts->hosts[attempt.at];
         const bool is_silent = attempt.is_lost || !at.up() || at.frozen ||
-                               net_.cut[number_][attempt.at];
+                               network_.cut[number_][attempt.at];
         if (is_silent)
         {
             return std::nullopt;
         }
         const auto known = at.running().core().known_current_at();
-        const auto held = at.running().machine().items().size();
+        const auto item_count = at.running().machine().items().size();
         const bool is_stale = now - known > max_hold_age;
-        if (held <= items_ && !is_stale && now < attempt.until)
+        if (item_count <= items_ && !is_stale && now < attempt.hold_until)
         {
             return std::nullopt;
         }
-        return reply{held, known};
+        return reply{item_count, known};
     }
 
     void apply_reply(
         const sync_attempt& attempt,
-        const std::optional<reply>& got,
+        const std::optional<reply>& received,
         time_point now)
     {
         const bool was_stale = hedges_.is_stale(now);
         bool is_current = false;
-        if (got)
+        if (received)
         {
-            items_ = std::max(items_, got->items);
-            hedges_.advance_current_at(got->current_at);
-            is_current = now - got->current_at <= max_accepted_age;
+            items_ = std::max(items_, received->items);
+            hedges_.advance_current_at(received->current_at);
+            is_current = now - received->current_at <= max_accepted_age;
         }
         if (attempt.is_poll)
         {
@@ -274,7 +276,7 @@
     }
 
     std::size_t number_;
-    network& net_;
+    network& network_;
     random_engine random_;
     sync_schedule schedule_;
     hedge_schedule hedges_;
@@ -289,12 +291,12 @@
     explicit fault_simulation(std::uint64_t seed)
         : hosts_(host_count, seed)
         , random_(seed)
-        , net_{&hosts_}
+        , network_{&hosts_}
         , last_fault_(hosts_.now)
     {
         for (std::size_t number = 0; number < daemon_count; ++number)
         {
-            daemons_.emplace_back(number, net_, seed * 100 + number);
+            daemons_.emplace_back(number, network_, seed * 100 + number);
         }
         hosts_.line = control_test::network_line{normal_bandwidth};
     }
@@ -382,7 +384,7 @@
         switch (random_below(5))
         {
         case 0:
-            net_.loses_next_answer[random_below(daemon_count)] = true;
+            network_.loses_next_answer[random_below(daemon_count)] = true;
             return;
         case 1:
             slow_down(random_below(host_count));
@@ -407,12 +409,12 @@
     void cut(std::size_t which, std::size_t number)
     {
         last_fault_ = hosts_.now;
-        net_.cut[which][number] = true;
+        network_.cut[which][number] = true;
         recoveries_.emplace_back(
             recovery_time(),
             [this, which, number]
             {
-                net_.cut[which][number] = false;
+                network_.cut[which][number] = false;
             });
     }
 
@@ -426,10 +428,10 @@
     void break_host(std::size_t number)
     {
         auto& broken = hosts_.hosts[number];
-        const bool is_enough = broken_count_ >= 2 ||
+        const bool must_skip = broken_count_ >= 2 ||
                                hosts_.lost_voters() >= 2 || !broken.up() ||
                                broken.frozen;
-        if (is_enough)
+        if (must_skip)
         {
             return;
         }
@@ -445,7 +447,7 @@
             fault_kind == 1 ? broken.crash() : broken.replace_disk();
             for (auto& each : daemons_)
             {
-                each.lose(number);
+                each.lose_requests_to(number);
             }
         }
         recoveries_.emplace_back(
@@ -492,7 +494,7 @@
     void check()
     {
         const bool is_stable = hosts_.now - last_fault_ > stable_after;
-        const auto due = acknowledged_before(hosts_.now - in_force_within);
+        const auto due = acknowledged_before(hosts_.now - max_change_delay);
         for (std::size_t number = 0; number < daemons_.size(); ++number)
         {
             const auto& each = daemons_[number];
@@ -514,7 +516,7 @@
 
     cluster hosts_;
     random_engine random_;
-    network net_;
+    network network_;
     std::deque<daemon_model> daemons_;
     std::vector<std::pair<time_point, std::function<void()>>> recoveries_;
     std::vector<std::pair<time_point, std::size_t>> acknowledged_;
--- a/nutmegusher/node/control_group.hpp
+++ b/nutmegusher/node/control_group.hpp
@@ -149,11 +149,11 @@
         {
             co_return std::nullopt;
         }
-        auto slot = std::make_shared<proposal_slot>(*settings_.context);
-        proposals_[position->index] = {position->term, slot};
-        auto result = co_await slot->wait(deadline);
+        auto awaited = std::make_shared<awaited_result>(*settings_.context);
+        proposals_[position->index] = {position->term, awaited};
+        auto result = co_await awaited->wait(deadline);
         const auto waiting = proposals_.find(position->index);
-        if (waiting != proposals_.end() && waiting->second.slot == slot)
+        if (waiting != proposals_.end() && waiting->second.awaited == awaited)
         {
             proposals_.erase(waiting);
         }
@@ -174,9 +174,9 @@
         {
             co_return std::nullopt;
         }
-        auto slot = std::make_shared<read_slot>(*settings_.context);
-        reads_[*ticket] = slot;
-        const auto index = co_await slot->wait(deadline);
+        auto awaited = std::make_shared<awaited_index>(*settings_.context);
+        reads_[*ticket] = awaited;
+        const auto index = co_await awaited->wait(deadline);
         reads_.erase(*ticket);
         if (!index)
         {
@@ -193,9 +193,9 @@
         {
             co_return true;
         }
-        auto slot = std::make_shared<async_value<bool>>(*settings_.context);
-        const auto waiting = apply_waiters_.emplace(index, slot);
-        const auto reached = co_await slot->wait(deadline);
+        auto awaited = std::make_shared<async_value<bool>>(*settings_.context);
+        const auto waiting = apply_waiters_.emplace(index, awaited);
+        const auto reached = co_await awaited->wait(deadline);
         if (!reached)
         {
             apply_waiters_.erase(waiting);
@@ -276,13 +276,13 @@
     }
 
 private:
-    using proposal_slot = async_value<std::optional<result_type>>;
-    using read_slot = async_value<std::optional<log_index>>;
+    using awaited_result = async_value<std::optional<result_type>>;
+    using awaited_index = async_value<std::optional<log_index>>;
 
     struct pending_proposal
     {
         log_term term = 0;
-        std::shared_ptr<proposal_slot> slot;
+        std::shared_ptr<awaited_result> awaited;
     };
 
     std::optional<proposal_position> try_propose(messages::log_entry entry)
@@ -295,10 +295,10 @@
             [&]() -> leaf::result<std::optional<proposal_position>>
             {
                 BOOST_LEAF_AUTO(
-                    made,
+                    accepted,
                     group_->core().propose(
                         std::move(entry), host_clock().now()));
-                return std::optional(made);
+                return std::optional(accepted);
             },
             []
             {
@@ -315,8 +315,9 @@
         return leaf::try_handle_all(
             [&]() -> leaf::result<std::optional<read_ticket>>
             {
-                BOOST_LEAF_AUTO(made, group_->core().read(host_clock().now()));
-                return std::optional(made);
+                BOOST_LEAF_AUTO(
+                    accepted, group_->core().read(host_clock().now()));
+                return std::optional(accepted);
             },
             []
             {
@@ -331,8 +332,10 @@
         {
             return;
         }
-        const bool own = result != nullptr && waiting->second.term == term;
-        waiting->second.slot->set(own ? std::optional(*result) : std::nullopt);
+        const bool is_own_entry =
+            result != nullptr && waiting->second.term == term;
+        waiting->second.awaited->set(
+            is_own_entry ? std::optional(*result) : std::nullopt);
         proposals_.erase(waiting);
     }
 
@@ -340,7 +343,7 @@
     {
         for (auto& [index, waiting] : proposals_)
         {
-            waiting.slot->set(std::nullopt);
+            waiting.awaited->set(std::nullopt);
         }
         proposals_.clear();
     }
@@ -353,9 +356,9 @@
         group_.reset();
         was_leader_ = false;
         fail_proposals();
-        for (auto& [ticket, slot] : reads_)
+        for (auto& [ticket, awaited] : reads_)
         {
-            slot->set(std::nullopt);
+            awaited->set(std::nullopt);
         }
         // After a failed sync the operating system may have dropped the data
         // that it could not write; only a new process reads the files as they
@@ -390,7 +393,7 @@
     control_group_hooks<Machine> hooks_;
     std::unique_ptr<group_type> group_;
     std::map<log_index, pending_proposal> proposals_;
-    std::map<read_ticket, std::shared_ptr<read_slot>> reads_;
+    std::map<read_ticket, std::shared_ptr<awaited_index>> reads_;
     std::multimap<log_index, std::shared_ptr<async_value<bool>>> apply_waiters_;
     std::optional<time_point> reopen_at_;
     bool was_leader_ = false;
--- a/nutmegusher/node/control_lag.cpp
+++ b/nutmegusher/node/control_lag.cpp
@@ -68,12 +68,12 @@
             {{"group", group}, {"after_ms", to_ms(report.length)}});
         return;
     }
-    const auto known = core.leader_commit();
+    const auto leader_commit = core.leader_commit();
     log_event(
         event::control_host_behind,
         {{"group", group},
          {"for_ms", to_ms(report.length)},
-         {"lacks", known - std::min(known, core.commit())},
+         {"lacks", leader_commit - std::min(leader_commit, core.commit())},
          {"leader", core.leader().has_value()}});
 }
 
--- a/nutmegusher/node/control_leaders.cpp
+++ b/nutmegusher/node/control_leaders.cpp
@@ -108,7 +108,7 @@
 bool control_loop::hand_over_groups()
 {
     const auto now = host_clock().now();
-    bool any = false;
+    bool transferring = false;
     for_each_group(
         [&](auto& group)
         {
@@ -125,10 +125,10 @@
             if (const auto successor = best_successor(core, now))
             {
                 transfer(core, *successor, now);
-                any = true;
+                transferring = true;
             }
         });
-    return any;
+    return transferring;
 }
 
 } // namespace nutmegusher::node::internal
--- a/nutmegusher/node/control_members.cpp
+++ b/nutmegusher/node/control_members.cpp
@@ -90,7 +90,7 @@
 asio::awaitable<void> control_loop::found_cluster()
 {
     const auto self = shared_from_this();
-    const std::uint64_t own = identity_.identity();
+    const std::uint64_t own_identity = identity_.identity();
     while (!stopped_ && identity_.cluster() == 0)
     {
         const auto members = co_await query_founders();
@@ -102,7 +102,8 @@
         {
             const bool joined = co_await request_joins(*members);
             if (joined &&
-                adopt_cluster(own, settings_.claim_groups + 1, *members))
+                adopt_cluster(
+                    own_identity, settings_.claim_groups + 1, *members))
             {
                 co_return;
             }
@@ -116,7 +117,7 @@
 asio::awaitable<std::optional<messages::replica_set>>
 control_loop::query_founders()
 {
-    const std::uint64_t own = identity_.identity();
+    const std::uint64_t own_identity = identity_.identity();
     messages::replica_set members;
     for (const auto& host : founders())
     {
@@ -124,7 +125,7 @@
         member.set_host(settings_.self.str());
         member.set_address(to_text(host.address));
         member.set_voter(true);
-        member.set_identity(own);
+        member.set_identity(own_identity);
         if (is_self(host))
         {
             continue;
@@ -136,7 +137,7 @@
             co_return std::nullopt;
         }
         member.set_host(reply->host());
-        if (reply->cluster() != 0 && reply->cluster() != own)
+        if (reply->cluster() != 0 && reply->cluster() != own_identity)
         {
             co_return messages::replica_set();
         }
@@ -148,9 +149,9 @@
 asio::awaitable<bool>
 control_loop::request_joins(const messages::replica_set& members)
 {
-    const std::uint64_t own = identity_.identity();
+    const std::uint64_t own_identity = identity_.identity();
     messages::join_request request;
-    request.set_cluster(own);
+    request.set_cluster(own_identity);
     request.set_groups(settings_.claim_groups + 1);
     *request.mutable_founding() = members;
     for (const auto& host : founders())
@@ -160,7 +161,7 @@
             continue;
         }
         const auto reply = co_await ask_to_join(host.address, request);
-        if (!reply || reply->cluster() != own)
+        if (!reply || reply->cluster() != own_identity)
         {
             co_return false;
         }
@@ -317,13 +318,14 @@
         {
             return;
         }
-        const replacement wanted{host_id(request.old_host()), request.added()};
+        const replacement requested{
+            host_id(request.old_host()), request.added()};
         const replica_id added(request.added().identity());
-        const auto step =
-            next_step(core.members(), wanted, is_caught_up(core, added, now));
+        const auto step = next_step(
+            core.members(), requested, is_caught_up(core, added, now));
         reply.set_done(
             step == replacement_step::done && core.members_committed());
-        auto members = membership_after(core.members(), wanted, step);
+        auto members = membership_after(core.members(), requested, step);
         if (!members)
         {
             return;
--- a/nutmegusher/node/control_requests.cpp
+++ b/nutmegusher/node/control_requests.cpp
@@ -149,9 +149,9 @@
         result.set_field(problem->field);
         co_return result;
     }
-    if (const auto known = applied_result(change))
+    if (const auto previous_result = applied_result(change))
     {
-        co_return *known;
+        co_return *previous_result;
     }
     const auto deadline = host_clock().now() + change_timeout;
     const auto body = change.SerializeAsString();
--- a/nutmegusher/node/control_service.cpp
+++ b/nutmegusher/node/control_service.cpp
@@ -66,7 +66,7 @@
         return leaf::new_error(json_error{json_problem::not_an_object, ""});
     }
     const auto& object = value.get_object();
-    const auto text_of =
+    const auto string_field =
         [&object](std::string_view field) -> leaf::result<std::string>
     {
         const auto* const found = object.if_contains(field);
@@ -78,9 +78,9 @@
         }
         return std::string(found->get_string());
     };
-    BOOST_LEAF_AUTO(old_host, text_of("old"));
-    BOOST_LEAF_AUTO(new_host, text_of("new"));
-    BOOST_LEAF_AUTO(address, text_of("address"));
+    BOOST_LEAF_AUTO(old_host, string_field("old"));
+    BOOST_LEAF_AUTO(new_host, string_field("new"));
+    BOOST_LEAF_AUTO(address, string_field("address"));
     const auto parsed = parse_endpoint(address);
     if (!parsed)
     {
@@ -90,7 +90,7 @@
     return replace_command{host_id(old_host), host_id(new_host), *parsed};
 }
 
-unsigned status_of(replace_outcome outcome)
+unsigned http_status_of(replace_outcome outcome)
 {
     switch (outcome)
     {
@@ -236,10 +236,10 @@
 
 json::value control_service::state::rollout() const
 {
-    const revision wanted(logs->present().revision());
+    const revision current_revision(logs->present().revision());
     const auto tally = syncs->rollout();
     json::array lagging;
-    for (const auto& each : tally.lagging(wanted))
+    for (const auto& each : tally.lagging(current_revision))
     {
         lagging.push_back(json::object{
             {"host", each.host.str()},
@@ -253,9 +253,9 @@
             {"revision", each.revision()}, {"daemons", each.daemons()}});
     }
     return json::object{
-        {"revision", wanted.value()},
+        {"revision", current_revision.value()},
         {"daemons", tally.daemons()},
-        {"in_force", tally.daemons_at(wanted)},
+        {"in_force", tally.daemons_at(current_revision)},
         {"counts", std::move(counts)},
         {"lagging", std::move(lagging)}};
 }
@@ -294,7 +294,7 @@
     const auto result = co_await logs->replace_member(
         command->old_host, command->new_host, command->address);
     json::value answer = json::object{{"outcome", to_string(result)}};
-    co_return std::pair(status_of(result), std::move(answer));
+    co_return std::pair(http_status_of(result), std::move(answer));
 }
 
 leaf::result<std::unique_ptr<control_service>>
--- a/nutmegusher/node/control_state.cpp
+++ b/nutmegusher/node/control_state.cpp
@@ -46,13 +46,13 @@
             {"address", member.address()},
             {"identity", identity_text(member.identity())},
             {"voter", member.voter()}};
-        for (const auto& known : progress)
+        for (const auto& follower : progress)
         {
-            if (known.id.value() == member.identity())
+            if (follower.id.value() == member.identity())
             {
-                described["match"] = known.match;
-                described["active"] = known.recently_active;
-                described["installing"] = known.installing;
+                described["match"] = follower.match;
+                described["active"] = follower.recently_active;
+                described["installing"] = follower.installing;
             }
         }
         members.push_back(std::move(described));
--- a/nutmegusher/node/control_test_hosts.hpp
+++ b/nutmegusher/node/control_test_hosts.hpp
@@ -121,11 +121,11 @@
     asio::io_context context;
     const auto process = static_cast<std::uint32_t>(::getpid());
     constexpr std::uint32_t loopback = 0x7f000000;
-    constexpr std::uint32_t own_part = 0x7fff;
-    const asio::ip::address_v4 own(
-        loopback | (1U << 23) | ((process & own_part) << 8) | 1U);
-    const asio::ip::tcp::endpoint any(own, 0);
-    asio::ip::tcp::acceptor acceptor(context, any);
+    constexpr std::uint32_t process_mask = 0x7fff;
+    const asio::ip::address_v4 own_address(
+        loopback | (1U << 23) | ((process & process_mask) << 8) | 1U);
+    const asio::ip::tcp::endpoint any_port(own_address, 0);
+    asio::ip::tcp::acceptor acceptor(context, any_port);
     return acceptor.local_endpoint();
 }
 
--- a/nutmegusher/node/control_transport.cpp
+++ b/nutmegusher/node/control_transport.cpp
@@ -87,16 +87,16 @@
 {
     for (auto& [id, target] : peers_)
     {
-        if (!target.waiting.empty() && !target.queue.empty())
+        if (!target.pending_responses.empty() && !target.queue.empty())
         {
-            const auto first = std::move(target.waiting.front());
-            target.waiting.pop_front();
+            const auto first = std::move(target.pending_responses.front());
+            target.pending_responses.pop_front();
             first->set(dequeue_batch(target, false));
         }
-        while (!target.waiting.empty())
+        while (!target.pending_responses.empty())
         {
-            target.waiting.front()->set(std::string());
-            target.waiting.pop_front();
+            target.pending_responses.front()->set(std::string());
+            target.pending_responses.pop_front();
         }
         send_next(id, target);
     }
@@ -104,9 +104,9 @@
 
 asio::awaitable<std::string> control_transport::answer(replica_id from)
 {
-    const auto slot = std::make_shared<async_value<std::string>>(context_);
-    peers_[from].waiting.push_back(slot);
-    auto batch = co_await slot->wait(host_clock().now() + answer_timeout);
+    const auto response = std::make_shared<async_value<std::string>>(context_);
+    peers_[from].pending_responses.push_back(response);
+    auto batch = co_await response->wait(host_clock().now() + answer_timeout);
     co_return batch ? std::move(*batch) : std::string();
 }
 
--- a/nutmegusher/node/control_transport.hpp
+++ b/nutmegusher/node/control_transport.hpp
@@ -72,7 +72,7 @@
     {
         std::optional<endpoint> address;
         std::deque<messages::replica_message> queue;
-        std::deque<std::shared_ptr<async_value<std::string>>> waiting;
+        std::deque<std::shared_ptr<async_value<std::string>>> pending_responses;
         std::size_t in_flight = 0;
     };
 
--- a/nutmegusher/node/control_voters.cpp
+++ b/nutmegusher/node/control_voters.cpp
@@ -298,13 +298,13 @@
     std::vector<member_view> view;
     for (const auto& member : core.members().members())
     {
-        member_view seen;
-        seen.member = member;
+        member_view member_state;
+        member_state.member = member;
         const replica_id id(member.identity());
         if (id == core.id())
         {
-            seen.caught_up = true;
-            view.push_back(seen);
+            member_state.caught_up = true;
+            view.push_back(member_state);
             continue;
         }
         const auto known = std::find_if(
@@ -317,9 +317,9 @@
         const bool active = known != progress.end() && known->recently_active;
         auto& last = last_active.emplace(id, now).first->second;
         last = active ? now : last;
-        seen.silent_for = now - last;
-        seen.caught_up = is_caught_up(core, id, now);
-        view.push_back(seen);
+        member_state.silent_for = now - last;
+        member_state.caught_up = is_caught_up(core, id, now);
+        view.push_back(member_state);
     }
     return view;
 }
--- a/nutmegusher/node/crash_store.cpp
+++ b/nutmegusher/node/crash_store.cpp
@@ -8,14 +8,14 @@
     time_point now,
     std::uint64_t wall_ms)
 {
-    messages::kept_crashes kept;
-    kept.set_written_at_ms(wall_ms);
+    messages::kept_crashes stored;
+    stored.set_written_at_ms(wall_ms);
     for (const auto& each : records)
     {
-        *kept.add_records() = to_message(each, now);
+        *stored.add_records() = to_message(each, now);
     }
     std::string bytes;
-    append_frame(bytes, kept.SerializeAsString());
+    append_frame(bytes, stored.SerializeAsString());
     return bytes;
 }
 
@@ -26,17 +26,17 @@
         [&]() -> leaf::result<std::vector<crash_record>>
         {
             BOOST_LEAF_AUTO(content, single_frame(bytes, crash_file));
-            messages::kept_crashes kept;
+            messages::kept_crashes stored;
             std::vector<crash_record> records;
-            const bool readable = kept.ParseFromArray(
+            const bool readable = stored.ParseFromArray(
                 content.data(), static_cast<int>(content.size()));
             if (!readable)
             {
                 return records;
             }
-            const auto written_at = std::min(kept.written_at_ms(), wall_ms);
+            const auto written_at = std::min(stored.written_at_ms(), wall_ms);
             const std::chrono::milliseconds elapsed(wall_ms - written_at);
-            for (const auto& each : kept.records())
+            for (const auto& each : stored.records())
             {
                 records.push_back(from_message(each, now - elapsed));
             }
--- a/nutmegusher/node/crash_store_test.cpp
+++ b/nutmegusher/node/crash_store_test.cpp
@@ -59,12 +59,13 @@
     ASSERT_TRUE(save_crashes(disk, one_record(), now, wall_ms));
     // After a restart the monotonic clock begins at another value.
     constexpr time_point later{std::chrono::seconds(50)};
-    const auto kept = load_crashes(disk, later, wall_ms + 5000);
-    ASSERT_TRUE(kept);
-    ASSERT_EQ(kept->size(), 1U);
-    EXPECT_EQ(later - kept->front().ends.back().crashed_at, milliseconds(6000));
+    const auto stored = load_crashes(disk, later, wall_ms + 5000);
+    ASSERT_TRUE(stored);
+    ASSERT_EQ(stored->size(), 1U);
+    EXPECT_EQ(
+        later - stored->front().ends.back().crashed_at, milliseconds(6000));
     crash_evidence evidence;
-    evidence.merge(kept->front(), later);
+    evidence.merge(stored->front(), later);
     EXPECT_EQ(
         evidence.assess(77, later).suspicion, crash_suspicion::quarantined);
 }
@@ -72,9 +73,9 @@
 TEST_F(crash_store, a_clock_that_was_set_back_adds_no_age)
 {
     const auto bytes = encode_crashes(one_record(), now, wall_ms);
-    const auto kept = decode_crashes(bytes, now, wall_ms - 60'000);
-    ASSERT_EQ(kept.size(), 1U);
-    EXPECT_EQ(now - kept.front().ends.back().crashed_at, milliseconds(1000));
+    const auto stored = decode_crashes(bytes, now, wall_ms - 60'000);
+    ASSERT_EQ(stored.size(), 1U);
+    EXPECT_EQ(now - stored.front().ends.back().crashed_at, milliseconds(1000));
 }
 
 TEST_F(crash_store, damaged_bytes_are_no_evidence)
@@ -88,9 +89,9 @@
 TEST_F(crash_store, an_empty_disk_keeps_nothing)
 {
     auto disk = open_disk();
-    const auto kept = load_crashes(disk, now, wall_ms);
-    ASSERT_TRUE(kept);
-    EXPECT_TRUE(kept->empty());
+    const auto stored = load_crashes(disk, now, wall_ms);
+    ASSERT_TRUE(stored);
+    EXPECT_TRUE(stored->empty());
 }
 
 } // namespace
--- a/nutmegusher/node/crash_tracker.cpp
+++ b/nutmegusher/node/crash_tracker.cpp
@@ -35,7 +35,7 @@
 }
 
 // Returns the services of the request, sorted, to be compared with `services_`.
-std::vector<std::string> services_in(const messages::sync_request& request)
+std::vector<std::string> sorted_services(const messages::sync_request& request)
 {
     std::vector<std::string> services(
         request.services().begin(), request.services().end());
@@ -309,8 +309,8 @@
     }
     // If the daemon needs another service, the records received so far are not
     // enough, so it asks for all of them.
-    const bool same = services_in(request) == services_;
-    request.set_known_crash_stamp(same ? known_stamp_ : 0);
+    const bool same_services = sorted_services(request) == services_;
+    request.set_known_crash_stamp(same_services ? known_stamp_ : 0);
     request.set_crash_epoch(epoch_);
 }
 
@@ -341,7 +341,7 @@
         queue_all_records();
     }
     known_stamp_ = reply.crash_stamp();
-    services_ = services_in(request);
+    services_ = sorted_services(request);
     if (now >= next_expiry_)
     {
         evidence_.expire(now);
--- a/nutmegusher/node/sync_client_test.cpp
+++ b/nutmegusher/node/sync_client_test.cpp
@@ -195,13 +195,13 @@
 // time.
 TEST_F(scripted_control_hosts, an_answer_that_arrives_slowly_is_taken)
 {
-    std::size_t asked = 0;
-    const auto answer = [&asked, this](
+    std::size_t request_count = 0;
+    const auto answer = [&request_count, this](
                             std::size_t,
                             messages::sync_request,
                             stream_pointer stream) -> asio::awaitable<void>
     {
-        ++asked;
+        ++request_count;
         const auto body = reply_of(7);
         wire::response_head head{200, {}};
         co_await stream->write_head(std::move(head), false);
@@ -220,26 +220,26 @@
         {
             return running_revision() == 7;
         }));
-    EXPECT_EQ(asked, 1U);
+    EXPECT_EQ(request_count, 1U);
 }
 
 // The control host that holds the poll becomes silent, or its reply is lost,
 // while another one has a newer configuration.
 TEST_F(scripted_control_hosts, a_daemon_asks_another_one_before_its_poll_ends)
 {
-    std::optional<std::size_t> silent;
+    std::optional<std::size_t> silent_host;
     time_point silent_since;
     const auto answer = [&](std::size_t number,
                             messages::sync_request,
                             stream_pointer stream) -> asio::awaitable<void>
     {
-        if (!silent)
+        if (!silent_host)
         {
-            silent = number;
+            silent_host = number;
             silent_since = host_clock().now();
             co_await send(stream, reply_of(1));
         }
-        else if (silent == number)
+        else if (silent_host == number)
         {
             co_await pause(test_limit);
         }
@@ -263,15 +263,16 @@
 // before they know what is current; the daemon ran revision 9 before.
 TEST_F(scripted_control_hosts, a_daemon_that_starts_takes_nothing_old)
 {
-    std::size_t asked = 0;
-    std::uint64_t oldest_run = 9;
+    std::size_t request_count = 0;
+    std::uint64_t lowest_revision = 9;
     const auto answer = [&](std::size_t,
                             messages::sync_request,
                             stream_pointer stream) -> asio::awaitable<void>
     {
-        const bool is_behind = ++asked <= 5;
+        const bool is_behind = ++request_count <= 5;
         messages::sync_reply reply;
-        EXPECT_TRUE(reply.ParseFromString(reply_of(is_behind ? asked : 9)));
+        EXPECT_TRUE(
+            reply.ParseFromString(reply_of(is_behind ? request_count : 9)));
         reply.set_linearizable(!is_behind);
         reply.set_current_after_ms(is_behind ? -1'000'000 : 0);
         co_await send(stream, reply.SerializeAsString());
@@ -280,27 +281,29 @@
     EXPECT_TRUE(run_until(
         [&]
         {
-            oldest_run = running_revision() == 0
-                             ? oldest_run
-                             : std::min(oldest_run, running_revision());
+            lowest_revision =
+                running_revision() == 0
+                    ? lowest_revision
+                    : std::min(lowest_revision, running_revision());
             return running_revision() == 9;
         }));
-    EXPECT_EQ(oldest_run, 9U);
-    EXPECT_GT(asked, 5U);
+    EXPECT_EQ(lowest_revision, 9U);
+    EXPECT_GT(request_count, 5U);
 }
 
 // The control host keeps answering, but reports that it is not current.
 TEST_F(scripted_control_hosts, a_daemon_leaves_one_that_is_behind)
 {
-    std::optional<std::size_t> behind;
+    std::optional<std::size_t> lagging_host;
     const auto answer = [&](std::size_t number,
                             messages::sync_request,
                             stream_pointer stream) -> asio::awaitable<void>
     {
-        behind = behind.value_or(number);
+        lagging_host = lagging_host.value_or(number);
         messages::sync_reply reply;
-        EXPECT_TRUE(reply.ParseFromString(reply_of(behind == number ? 1 : 2)));
-        reply.set_current_after_ms(behind == number ? -15'000 : 0);
+        EXPECT_TRUE(
+            reply.ParseFromString(reply_of(lagging_host == number ? 1 : 2)));
+        reply.set_current_after_ms(lagging_host == number ? -15'000 : 0);
         co_await send(stream, reply.SerializeAsString());
     };
     start(2, answer);
@@ -315,7 +318,7 @@
 // without that announcement would be held.
 TEST_F(scripted_control_hosts, the_poll_tells_what_happened_while_it_connected)
 {
-    std::size_t held = 0;
+    std::size_t held_count = 0;
     const auto answer = [&](std::size_t,
                             messages::sync_request request,
                             stream_pointer stream) -> asio::awaitable<void>
@@ -325,14 +328,14 @@
             co_await send(stream, reply_of(1));
             co_return;
         }
-        ++held;
+        ++held_count;
         co_await pause(test_limit);
     };
     start(1, answer);
     ASSERT_TRUE(run_until(
         [&]
         {
-            return held == 1;
+            return held_count == 1;
         }));
     auto acceptor = replace_control_host();
     tcp::socket session(acceptor.get_executor());
--- a/nutmegusher/node/sync_server.cpp
+++ b/nutmegusher/node/sync_server.cpp
@@ -57,9 +57,9 @@
 write_all(wire::server_stream& stream, const std::string& body)
 {
     wire::response_head head{200, {}};
-    const auto begun =
+    const auto head_written =
         co_await stream.write_head(std::move(head), body.empty());
-    if (begun && !body.empty())
+    if (head_written && !body.empty())
     {
         co_await stream.write(std::as_bytes(std::span(body)), true);
     }
@@ -172,15 +172,15 @@
     bool changed = false;
     {
         const std::scoped_lock lock(mutex_);
-        const auto before = registry_.counts().stamp;
-        const auto renewed = registry_.renew(arrived, request);
-        reply.set_accepted(renewed == renewal_result::accepted);
+        const auto old_stamp = registry_.counts().stamp;
+        const auto renewal = registry_.renew(arrived, request);
+        reply.set_accepted(renewal == renewal_result::accepted);
         if (!reply.accepted())
         {
             reply.set_known_incarnation(
                 registry_.known_incarnation(request.host()));
         }
-        changed = registry_.counts().stamp != before;
+        changed = registry_.counts().stamp != old_stamp;
         changed = merge_crashes(request.crashes()) || changed;
     }
     if (!reply.accepted())
@@ -337,9 +337,9 @@
     {
         // A sync is not held any longer once this host's state has become too
         // old.
-        const auto old_at =
+        const auto stale_at =
             source_.known_current_at() + max_hold_age + clock_resolution;
-        own_waiter->timer.expires_at(std::min(until, old_at));
+        own_waiter->timer.expires_at(std::min(until, stale_at));
         co_await own_waiter->timer.async_wait(as_tuple_awaitable);
     }
 }
@@ -358,7 +358,7 @@
 
 asio::awaitable<void> sync_server::exchange_leases(wire::session_pool& peers)
 {
-    asio::steady_timer pause(co_await asio::this_coro::executor);
+    asio::steady_timer interval_timer(co_await asio::this_coro::executor);
     while (true)
     {
         for (auto& other : source_.control_hosts())
@@ -368,7 +368,7 @@
             if (other.host() != self_.str() && begin_exchange(other.host()))
             {
                 asio::co_spawn(
-                    pause.get_executor(),
+                    interval_timer.get_executor(),
                     exchange_with(peers, std::move(other)),
                     asio::detached);
             }
@@ -380,10 +380,10 @@
             {
                 co_return;
             }
-            const auto before = registry_.counts().stamp;
+            const auto old_stamp = registry_.counts().stamp;
             registry_.expire(host_clock().now());
             crashes_.expire(host_clock().now());
-            changed = registry_.counts().stamp != before;
+            changed = registry_.counts().stamp != old_stamp;
             std::erase_if(
                 waiters_,
                 [](const auto& each)
@@ -395,8 +395,8 @@
         {
             notify();
         }
-        pause.expires_after(exchange_interval);
-        co_await pause.async_wait(as_tuple_awaitable);
+        interval_timer.expires_after(exchange_interval);
+        co_await interval_timer.async_wait(as_tuple_awaitable);
     }
 }
 
@@ -441,9 +441,9 @@
     bool changed = false;
     {
         const std::scoped_lock lock(mutex_);
-        const auto before = registry_.counts().stamp;
+        const auto old_stamp = registry_.counts().stamp;
         registry_.apply(host_clock().now(), host_id(other.host()), update);
-        changed = registry_.counts().stamp != before;
+        changed = registry_.counts().stamp != old_stamp;
         changed = merge_crashes(update.crashes()) || changed;
         crash_positions_[other.host()] = {
             update.crash_epoch(), update.crash_stamp()};
--- a/nutmegusher/node/sync_server_test.cpp
+++ b/nutmegusher/node/sync_server_test.cpp
@@ -183,7 +183,7 @@
     reply_future exchange(
         const std::string& host,
         const std::string& service,
-        const crash_tracker& watch)
+        const crash_tracker& tracker)
     {
         messages::sync_request request;
         request.set_host(host);
@@ -192,17 +192,17 @@
         request.set_known_stamp(registry.stamp());
         request.set_registry_epoch(registry.registry_epoch());
         request.set_wait_ms(std::chrono::milliseconds(max_hold).count());
-        watch.fill_request(request);
+        tracker.fill_request(request);
         last_request = request;
         return asio::co_spawn(
             context, send(std::move(request)), asio::use_future);
     }
 
-    void simulate_crash(crash_tracker& watch, std::uint64_t upstream)
+    void simulate_crash(crash_tracker& tracker, std::uint64_t upstream)
     {
-        const auto run = watch.begin_run(digest);
-        watch.mark_run_lost(run);
-        watch.on_upstream_crashed(
+        const auto run = tracker.begin_run(digest);
+        tracker.mark_run_lost(run);
+        tracker.on_upstream_crashed(
             upstream, "i-" + std::to_string(upstream), service_name("views"));
     }
 
