--- a/nutmegusher/node/control_voters.cpp
+++ b/nutmegusher/node/control_voters.cpp
@@ -136,7 +136,7 @@
         }
         const bool answered = answer && reply.ParseFromString(*answer);
         answers += answers.empty() ? "" : ", ";
-        answers += to_text(host) + (answered ? " no leader" : " silent");
+        answers += to_text(host) + (answered ? " no leader" : " no answer");
         if (answered && apply_admission_reply(reply))
         {
             not_admitted_since_.reset();
--- a/nutmegusher/node/crash_store.hpp
+++ b/nutmegusher/node/crash_store.hpp
@@ -18,8 +18,8 @@
 
 inline constexpr std::string_view crash_file = "quarantine";
 
-// Encodes the records with their ages. `wall_ms`: milliseconds since 1970, as
-// the host's monotonic clock does not survive a restart.
+// Encodes the records with their ages. `wall_ms` counts milliseconds since 1970
+// because the host's monotonic clock does not survive a restart.
 [[nodiscard]] std::string encode_crashes(
     std::span<const crash_record> records,
     time_point now,
--- a/nutmegusher/node/crash_tracker.hpp
+++ b/nutmegusher/node/crash_tracker.hpp
@@ -49,7 +49,7 @@
     crash_tracker(const crash_tracker&) = delete;
     crash_tracker& operator=(const crash_tracker&) = delete;
 
-    // Returns the crash evidence against a request. Called at the entry.
+    // Returns the crash evidence against requests with this digest.
     [[nodiscard]] crash_assessment assess(std::uint64_t digest) const;
 
     // Returns false if a request of the same digest, which is known to have
@@ -66,8 +66,9 @@
         duration ran_for,
         const service_name& service);
 
-    // Tracks a run of a request on this host's own upstream: begin, and one of
-    // three outcomes.
+    // Tracks a run of a request on this host's own upstream. It completes, is
+    // discarded, or loses its connection; a lost run is suspected if the
+    // upstream turns out to have crashed.
     [[nodiscard]] in_flight_requests::ticket begin_run(std::uint64_t digest);
     void complete_run(in_flight_requests::ticket run, std::uint64_t digest);
     void discard_run(in_flight_requests::ticket run);
--- a/nutmegusher/node/sync_server_test.cpp
+++ b/nutmegusher/node/sync_server_test.cpp
@@ -125,7 +125,7 @@
 // Guards against holding syncs on old state: a control host that had lost its
 // disk rejoined far behind a long log. It still heard from a leader, so it kept
 // holding the syncs of its daemons, whose configuration was 15 s old by then.
-// The host was at revision 6, the others at 92:
+// The host had applied 6 revisions and the others 92:
 //
 //     46.33 s  control_change_accepted revision=5   (the host)
 //     37.69 s  configuration_in_force revision=87   (a daemon; its last line)
