--- a/nutmegusher/node/configuration_age_test.cpp
+++ b/nutmegusher/node/configuration_age_test.cpp
@@ -1,9 +1,9 @@
-// A group of control hosts with daemons, over random series of losses. A change
-// that was accepted is in force at each daemon in time once nothing was broken
-// for a while, whatever its control hosts lack; and what a daemon claims to be
-// current is.
+// Simulates a group of control hosts with daemons under random faults. Once the
+// system has been free of faults for a while, each daemon must run an accepted
+// change in time, however far its control hosts lag. A daemon that claims to be
+// current must be current.
 //
-// The group is the one that ships, as are the schedules of the daemons; the
+// The replicated group and the daemons' schedules are the production code; the
 // exchange between them is a model of `sync_server` and `sync_client`.
 //
 //     NUTMEGUSHER_SERIES=500 NUTMEGUSHER_SEED=7
@@ -30,8 +30,9 @@
 
 constexpr std::size_t host_count = 5;
 constexpr std::size_t daemon_count = 6;
-// The users' bound on a change, and how long nothing must have been broken.
-constexpr seconds in_force_within{2};
+// The users' bound for a change to take effect, and how long the system must
+// have been free of faults before that bound is checked.
+constexpr seconds max_change_delay{2};
 constexpr seconds stable_after{3};
 constexpr milliseconds poll_wait{1000};
 constexpr milliseconds answer_timeout{1500};
@@ -42,39 +43,40 @@
 constexpr double normal_bandwidth = 5'000'000;
 constexpr double slow_bandwidth = 100'000;
 
-// One question of a daemon to a control host.
+// A sync request in flight from a daemon to a control host.
 struct sync_attempt
 {
     std::size_t at = 0;
     bool is_poll = true;
-    time_point until;
-    time_point given_up_at;
-    // The host was lost with it, or its answer was.
+    time_point hold_until;
+    time_point times_out_at;
+    // The host crashed while it held the request, or the reply was lost.
     bool is_lost = false;
 };
 
 struct network
 {
     cluster* hosts;
-    // By daemon and host.
+    // Broken connections, by daemon and host.
     std::array<std::array<bool, host_count>, daemon_count> cut{};
-    // The next answer to each daemon is lost.
+    // By daemon: its next reply is lost.
     std::array<bool, daemon_count> loses_next_answer{};
 };
 
 class daemon_model
 {
 public:
-    daemon_model(std::size_t number, network& net, std::uint64_t seed)
+    daemon_model(
+        std::size_t number, network& shared_network, std::uint64_t seed)
         : number_(number)
-        , net_(net)
+        , network_(shared_network)
         , random_(seed)
-        , schedule_(host_id("d" + std::to_string(number)), here())
+        , schedule_(host_id("d" + std::to_string(number)), own_locality())
     {
         std::vector<control_host> all;
         for (std::size_t at = 0; at < host_count; ++at)
         {
-            all.push_back({name_of(at), name_of(at).str(), here()});
+            all.push_back({name_of(at), name_of(at).str(), own_locality()});
         }
         schedule_.set_hosts(all);
     }
@@ -96,18 +98,19 @@
         return hedges_.current_at();
     }
 
-    // What it waits for, for a failure's message.
+    // The daemon's requests in flight, for the message of a failed check.
     [[nodiscard]] std::string describe(time_point now) const
     {
-        std::string text = "; knows " + to_text(now - current_at()) + " ago";
+        std::string text =
+            "; current as of " + to_text(now - current_at()) + " ago";
         for (const auto& each : pending_)
         {
-            text += each.is_poll ? "; polls " : "; asks ";
-            text += std::to_string(each.at) + ", gives up in " +
-                    to_text(each.given_up_at - now) +
+            text += each.is_poll ? "; polling host " : "; hedging to host ";
+            text += std::to_string(each.at) + ", times out in " +
+                    to_text(each.times_out_at - now) +
                     (each.is_lost ? ", lost" : "");
         }
-        return text + "; asks others in " + to_text(hedges_.due() - now);
+        return text + "; next hedge in " + to_text(hedges_.due() - now);
     }
 
     static std::string to_text(duration length)
@@ -116,8 +119,8 @@
         return std::to_string(ms.count()) + " ms";
     }
 
-    // What was asked of this host is lost with it.
-    void lose(std::size_t at)
+    // Marks requests to this host as lost, as it has crashed.
+    void lose_requests_to(std::size_t at)
     {
         for (auto& each : pending_)
         {
@@ -132,7 +135,7 @@
         time_point current_at;
     };
 
-    static locality here()
+    static locality own_locality()
     {
         return {data_center_name("a"), region_name("r")};
     }
@@ -182,10 +185,10 @@
         sync_attempt attempt;
         attempt.at = static_cast<std::size_t>(std::stoul(to.host.str()));
         attempt.is_poll = is_poll;
-        const bool waits = is_poll && items_ > 0;
-        attempt.until = waits ? now + poll_wait : now;
-        attempt.given_up_at = attempt.until + answer_timeout;
-        attempt.is_lost = !net_.hosts->hosts[attempt.at].up();
+        const bool may_wait = is_poll && items_ > 0;
+        attempt.hold_until = may_wait ? now + poll_wait : now;
+        attempt.times_out_at = attempt.hold_until + answer_timeout;
+        attempt.is_lost = !network_.hosts->hosts[attempt.at].up();
         pending_.push_back(attempt);
     }
 
@@ -194,17 +197,18 @@
         const auto waiting = std::exchange(pending_, {});
         for (const auto& attempt : waiting)
         {
-            auto got = reply_to(attempt, now);
-            if (got && std::exchange(net_.loses_next_answer[number_], false))
+            auto received = reply_to(attempt, now);
+            if (received &&
+                std::exchange(network_.loses_next_answer[number_], false))
             {
-                got.reset();
+                received.reset();
                 pending_.push_back(attempt);
                 pending_.back().is_lost = true;
                 continue;
             }
-            if (got || now >= attempt.given_up_at)
+            if (received || now >= attempt.times_out_at)
             {
-                apply_reply(attempt, got, now);
+                apply_reply(attempt, received, now);
             }
             else
             {
@@ -225,35 +229,35 @@
     std::optional<reply>
     reply_to(const sync_attempt& attempt, time_point now) const
     {
-        auto& at = net_.hosts->hosts[attempt.at];
+        auto& at = network_.hosts->hosts[attempt.at];
         const bool is_silent = attempt.is_lost || !at.up() || at.frozen ||
-                               net_.cut[number_][attempt.at];
+                               network_.cut[number_][attempt.at];
         if (is_silent)
         {
             return std::nullopt;
         }
         const auto known = at.running().core().known_current_at();
-        const auto held = at.running().machine().items().size();
+        const auto item_count = at.running().machine().items().size();
         const bool is_stale = now - known > max_hold_age;
-        if (held <= items_ && !is_stale && now < attempt.until)
+        if (item_count <= items_ && !is_stale && now < attempt.hold_until)
         {
             return std::nullopt;
         }
-        return reply{held, known};
+        return reply{item_count, known};
     }
 
     void apply_reply(
         const sync_attempt& attempt,
-        const std::optional<reply>& got,
+        const std::optional<reply>& received,
         time_point now)
     {
         const bool was_stale = hedges_.is_stale(now);
         bool is_current = false;
-        if (got)
+        if (received)
         {
-            items_ = std::max(items_, got->items);
-            hedges_.advance_current_at(got->current_at);
-            is_current = now - got->current_at <= max_accepted_age;
+            items_ = std::max(items_, received->items);
+            hedges_.advance_current_at(received->current_at);
+            is_current = now - received->current_at <= max_accepted_age;
         }
         if (attempt.is_poll)
         {
@@ -272,7 +276,7 @@
     }
 
     std::size_t number_;
-    network& net_;
+    network& network_;
     random_engine random_;
     sync_schedule schedule_;
     hedge_schedule hedges_;
@@ -287,17 +291,17 @@
     explicit fault_simulation(std::uint64_t seed)
         : hosts_(host_count, seed)
         , random_(seed)
-        , net_{&hosts_}
+        , network_{&hosts_}
         , last_fault_(hosts_.now)
     {
         for (std::size_t number = 0; number < daemon_count; ++number)
         {
-            daemons_.emplace_back(number, net_, seed * 100 + number);
+            daemons_.emplace_back(number, network_, seed * 100 + number);
         }
         hosts_.link = control_test::network_link{normal_bandwidth};
     }
 
-    // Empty where all held.
+    // Returns an empty string if all checks pass.
     std::string run(seconds length)
     {
         const auto end = hosts_.now + length;
@@ -380,7 +384,7 @@
         switch (random_below(5))
         {
         case 0:
-            net_.loses_next_answer[random_below(daemon_count)] = true;
+            network_.loses_next_answer[random_below(daemon_count)] = true;
             return;
         case 1:
             slow_down(random_below(host_count));
@@ -394,7 +398,8 @@
         }
     }
 
-    // That host falls behind for good, and hears of its leader all the while.
+    // Limits the bandwidth to this host, so that it lags permanently while it
+    // still hears from its leader.
     void slow_down(std::size_t number)
     {
         hosts_.link->only_to_host = hosts_.hosts[number].name();
@@ -404,12 +409,12 @@
     void cut(std::size_t which, std::size_t number)
     {
         last_fault_ = hosts_.now;
-        net_.cut[which][number] = true;
+        network_.cut[which][number] = true;
         recoveries_.emplace_back(
             recovery_time(),
             [this, which, number]
             {
-                net_.cut[which][number] = false;
+                network_.cut[which][number] = false;
             });
     }
 
@@ -418,14 +423,15 @@
         return hosts_.now + milliseconds(200 + random_below(3000));
     }
 
-    // Frozen, killed, or killed with its disk; two at most at a time.
+    // Freezes the host, kills it, or kills it and loses its disk. At most two
+    // hosts are broken at a time.
     void break_host(std::size_t number)
     {
         auto& broken = hosts_.hosts[number];
-        const bool is_enough = broken_count_ >= 2 ||
+        const bool must_skip = broken_count_ >= 2 ||
                                hosts_.lost_voters() >= 2 || !broken.up() ||
                                broken.frozen;
-        if (is_enough)
+        if (must_skip)
         {
             return;
         }
@@ -441,7 +447,7 @@
             fault_kind == 1 ? broken.crash() : broken.replace_disk();
             for (auto& each : daemons_)
             {
-                each.lose(number);
+                each.lose_requests_to(number);
             }
         }
         recoveries_.emplace_back(
@@ -488,14 +494,16 @@
     void check()
     {
         const bool is_stable = hosts_.now - last_fault_ > stable_after;
-        const auto due = acknowledged_before(hosts_.now - in_force_within);
+        const auto due = acknowledged_before(hosts_.now - max_change_delay);
         for (std::size_t number = 0; number < daemons_.size(); ++number)
         {
             const auto& each = daemons_[number];
             const auto who = "daemon " + std::to_string(number);
             if (each.items() < acknowledged_before(each.current_at()))
             {
-                failure_ = who + " claims to be current and lacks an item";
+                failure_ =
+                    who +
+                    " claims to be current but lacks an acknowledged item";
             }
             else if (is_stable && each.items() < due)
             {
@@ -508,7 +516,7 @@
 
     cluster hosts_;
     random_engine random_;
-    network net_;
+    network network_;
     std::deque<daemon_model> daemons_;
     std::vector<std::pair<time_point, std::function<void()>>> recoveries_;
     std::vector<std::pair<time_point, std::size_t>> acknowledged_;
@@ -528,9 +536,10 @@
     return text == nullptr ? default_value : std::stoull(text);
 }
 
-// A daemon whose host went silent while it was time to go back to another one:
-// the failure counted against that one, and the silent one was asked four times
-// more. "polls 4, gives up in 1847 ms, lost; asks others in 471 ms".
+// A daemon's control host became silent just when the daemon was due to return
+// to its preferred host. The timeout was counted against the preferred host, so
+// the silent host was polled four more times. The daemon's state at the time:
+// polling host 4, times out in 1847 ms, lost; next hedge in 471 ms.
 TEST(configuration_age, a_silent_host_is_left_while_a_return_is_due)
 {
     for (const std::uint64_t seed : {1038, 1172})
--- a/nutmegusher/node/control_group.hpp
+++ b/nutmegusher/node/control_group.hpp
@@ -1,4 +1,5 @@
-// One replicated group on the logs' thread: who waits for what.
+// One replicated group on the logs' thread, with the coroutines that wait for
+// its proposals and reads.
 #ifndef NUTMEGUSHER_NODE_CONTROL_GROUP_HPP
 #define NUTMEGUSHER_NODE_CONTROL_GROUP_HPP
 
@@ -16,10 +17,11 @@
 namespace nutmegusher::node::internal
 {
 
-// After a disk was full, before the group is opened again.
+// How long a group stays closed after a storage failure, such as a full disk,
+// before it is opened again.
 inline constexpr duration reopen_delay = std::chrono::seconds(1);
 
-// What a group tells the loop that owns it.
+// Callbacks from a group to the loop that owns it.
 template <state_machine Machine>
 struct control_group_hooks
 {
@@ -31,7 +33,7 @@
     std::function<void()> members_changed;
 };
 
-// What a group is opened with.
+// The parameters of a group.
 struct control_group_settings
 {
     replica_settings replica;
@@ -41,8 +43,8 @@
     random_engine* engine;
 };
 
-// Is the `group_listener` of its group. Closed while its storage fails: then
-// nothing is proposed, answered or acknowledged here.
+// Implements `group_listener` for its group. While the storage fails the group
+// is closed: nothing is proposed, answered or acknowledged on this host.
 template <state_machine Machine>
 class control_group
 {
@@ -58,7 +60,7 @@
     {
     }
 
-    // Fails with `storage_failure`.
+    // Errors: `storage_failure`.
     [[nodiscard]] leaf::result<void> open(time_point now)
     {
         BOOST_LEAF_ASSIGN(
@@ -79,7 +81,7 @@
         return settings_.replica.group;
     }
 
-    // nullptr while the group is closed.
+    // Returns nullptr while the group is closed.
     [[nodiscard]] group_type* running()
     {
         return group_.get();
@@ -137,7 +139,8 @@
         }
     }
 
-    // Nothing: it isn't known whether the entry was or will be applied.
+    // Returns nullopt if it is unknown whether the entry was or will be
+    // applied.
     [[nodiscard]] asio::awaitable<std::optional<result_type>>
     propose(messages::log_entry entry, time_point deadline)
     {
@@ -146,11 +149,11 @@
         {
             co_return std::nullopt;
         }
-        auto slot = std::make_shared<proposal_slot>(*settings_.context);
-        proposals_[position->index] = {position->term, slot};
-        auto result = co_await slot->wait(deadline);
+        auto awaited = std::make_shared<awaited_result>(*settings_.context);
+        proposals_[position->index] = {position->term, awaited};
+        auto result = co_await awaited->wait(deadline);
         const auto waiting = proposals_.find(position->index);
-        if (waiting != proposals_.end() && waiting->second.slot == slot)
+        if (waiting != proposals_.end() && waiting->second.awaited == awaited)
         {
             proposals_.erase(waiting);
         }
@@ -161,8 +164,8 @@
         co_return std::move(*result);
     }
 
-    // The index that a linearizable read must have applied; nothing where this
-    // host isn't confirmed as the leader by the deadline.
+    // Returns the index that a linearizable read must have applied, or nullopt
+    // if this host is not confirmed as the leader by the deadline.
     [[nodiscard]] asio::awaitable<std::optional<log_index>>
     confirm(time_point deadline)
     {
@@ -171,9 +174,9 @@
         {
             co_return std::nullopt;
         }
-        auto slot = std::make_shared<read_slot>(*settings_.context);
-        reads_[*ticket] = slot;
-        const auto index = co_await slot->wait(deadline);
+        auto awaited = std::make_shared<awaited_index>(*settings_.context);
+        reads_[*ticket] = awaited;
+        const auto index = co_await awaited->wait(deadline);
         reads_.erase(*ticket);
         if (!index)
         {
@@ -182,7 +185,7 @@
         co_return *index;
     }
 
-    // False where the index isn't applied here by the deadline.
+    // Returns false if the index is not applied on this host by the deadline.
     [[nodiscard]] asio::awaitable<bool>
     wait_applied(log_index index, time_point deadline)
     {
@@ -190,9 +193,9 @@
         {
             co_return true;
         }
-        auto slot = std::make_shared<async_value<bool>>(*settings_.context);
-        const auto waiting = apply_waiters_.emplace(index, slot);
-        const auto reached = co_await slot->wait(deadline);
+        auto awaited = std::make_shared<async_value<bool>>(*settings_.context);
+        const auto waiting = apply_waiters_.emplace(index, awaited);
+        const auto reached = co_await awaited->wait(deadline);
         if (!reached)
         {
             apply_waiters_.erase(waiting);
@@ -200,7 +203,7 @@
         co_return reached.has_value();
     }
 
-    // For `replicated_group`.
+    // The functions below are the `group_listener` interface.
     void send(messages::replica_message message)
     {
         hooks_.send(std::move(message));
@@ -247,13 +250,14 @@
         log_leadership(number(), current, is_leader, was_leader_);
         if (was_leader_ && !is_leader)
         {
-            // They may still be committed: nothing is known.
+            // The proposals may still be committed, so their outcome is
+            // unknown.
             fail_proposals();
         }
         was_leader_ = is_leader;
     }
 
-    // Wakes who waits for what was applied in a turn.
+    // Resumes the coroutines whose entries have been applied.
     void wake_apply_waiters()
     {
         while (group_ && !apply_waiters_.empty() &&
@@ -262,7 +266,8 @@
             apply_waiters_.begin()->second->set(true);
             apply_waiters_.erase(apply_waiters_.begin());
         }
-        // Entries without a result: they lost against a new leader's.
+        // These indexes hold entries of a new leader, so the proposals were
+        // lost and have no result.
         while (group_ && !proposals_.empty() &&
                proposals_.begin()->first <= group_->applied())
         {
@@ -271,13 +276,13 @@
     }
 
 private:
-    using proposal_slot = async_value<std::optional<result_type>>;
-    using read_slot = async_value<std::optional<log_index>>;
+    using awaited_result = async_value<std::optional<result_type>>;
+    using awaited_index = async_value<std::optional<log_index>>;
 
     struct pending_proposal
     {
         log_term term = 0;
-        std::shared_ptr<proposal_slot> slot;
+        std::shared_ptr<awaited_result> awaited;
     };
 
     std::optional<proposal_position> try_propose(messages::log_entry entry)
@@ -290,10 +295,10 @@
             [&]() -> leaf::result<std::optional<proposal_position>>
             {
                 BOOST_LEAF_AUTO(
-                    made,
+                    accepted,
                     group_->core().propose(
                         std::move(entry), host_clock().now()));
-                return std::optional(made);
+                return std::optional(accepted);
             },
             []
             {
@@ -310,8 +315,9 @@
         return leaf::try_handle_all(
             [&]() -> leaf::result<std::optional<read_ticket>>
             {
-                BOOST_LEAF_AUTO(made, group_->core().read(host_clock().now()));
-                return std::optional(made);
+                BOOST_LEAF_AUTO(
+                    accepted, group_->core().read(host_clock().now()));
+                return std::optional(accepted);
             },
             []
             {
@@ -326,8 +332,10 @@
         {
             return;
         }
-        const bool own = result != nullptr && waiting->second.term == term;
-        waiting->second.slot->set(own ? std::optional(*result) : std::nullopt);
+        const bool is_own_entry =
+            result != nullptr && waiting->second.term == term;
+        waiting->second.awaited->set(
+            is_own_entry ? std::optional(*result) : std::nullopt);
         proposals_.erase(waiting);
     }
 
@@ -335,24 +343,26 @@
     {
         for (auto& [index, waiting] : proposals_)
         {
-            waiting.slot->set(std::nullopt);
+            waiting.awaited->set(std::nullopt);
         }
         proposals_.clear();
     }
 
-    // Nobody is told a verdict that may not be durable.
+    // Closes the group, so that no caller receives a verdict that may not be
+    // durable.
     void close(const storage_failure& failure, time_point now)
     {
         log_storage_failed(number(), failure);
         group_.reset();
         was_leader_ = false;
         fail_proposals();
-        for (auto& [ticket, slot] : reads_)
+        for (auto& [ticket, awaited] : reads_)
         {
-            slot->set(std::nullopt);
+            awaited->set(std::nullopt);
         }
-        // After a failed sync the system may have dropped what it couldn't
-        // write; only a new process reads the files as they are.
+        // After a failed sync the operating system may have dropped the data
+        // that it could not write; only a new process reads the files as they
+        // are.
         reopen_at_.reset();
         if (failure.fault != storage_fault::sync_failed)
         {
@@ -383,7 +393,7 @@
     control_group_hooks<Machine> hooks_;
     std::unique_ptr<group_type> group_;
     std::map<log_index, pending_proposal> proposals_;
-    std::map<read_ticket, std::shared_ptr<read_slot>> reads_;
+    std::map<read_ticket, std::shared_ptr<awaited_index>> reads_;
     std::multimap<log_index, std::shared_ptr<async_value<bool>>> apply_waiters_;
     std::optional<time_point> reopen_at_;
     bool was_leader_ = false;
--- a/nutmegusher/node/control_lag.cpp
+++ b/nutmegusher/node/control_lag.cpp
@@ -1,5 +1,5 @@
-// Log lines on who lacks entries, so that a host that doesn't catch up is seen
-// from both ends.
+// Logs which hosts lack entries, both on the leader and on the lagging host, so
+// that a host that does not catch up is visible from either side.
 #include "nutmegusher/node/control_loop.hpp"
 
 #include <algorithm>
@@ -68,12 +68,12 @@
             {{"group", group}, {"after_ms", to_ms(report.length)}});
         return;
     }
-    const auto known = core.leader_commit();
+    const auto leader_commit = core.leader_commit();
     log_event(
         event::control_host_behind,
         {{"group", group},
          {"for_ms", to_ms(report.length)},
-         {"lacks", known - std::min(known, core.commit())},
+         {"lacks", leader_commit - std::min(leader_commit, core.commit())},
          {"leader", core.leader().has_value()}});
 }
 
--- a/nutmegusher/node/control_members.cpp
+++ b/nutmegusher/node/control_members.cpp
@@ -1,4 +1,4 @@
-// Who belongs to the cluster: founding, joining, replacing.
+// Changes which hosts belong to the cluster: founding, joining and replacing.
 #include "nutmegusher/node/control_loop.hpp"
 
 #include <algorithm>
@@ -43,8 +43,8 @@
            settings_.seeds.end();
 }
 
-// The first of the hosts named in `initial`, or the seed with the lowest
-// address: all seeds agree on it, in whatever order they are named.
+// The founder is the first host in `initial`, or the seed with the lowest
+// address, so that all seeds agree whatever the order in which they are listed.
 bool control_loop::is_cluster_founder() const
 {
     if (!settings_.initial.empty())
@@ -56,8 +56,8 @@
                settings_.address;
 }
 
-// By name where there is one: others may reach this host by another address
-// than the one it listens on.
+// Compares by name if there is one, as other hosts may reach this host at an
+// address other than the one it listens on.
 bool control_loop::is_self(const founder& candidate) const
 {
     return candidate.host ? *candidate.host == settings_.self
@@ -81,15 +81,16 @@
     return all;
 }
 
-// The first start. Every other host must answer that it belongs to no cluster
-// before any of them is asked to join, and joining is for ever: so an emptied
-// folder can neither found a second cluster beside a running one nor come back
-// as the voter that it was. Every host writes the first members down itself,
-// so that the group outlives the founder from its first moment.
+// Runs on the first start. Every other host must answer that it belongs to no
+// cluster before any of them is asked to join, and joining cannot be undone. So
+// a host whose data folder was emptied can neither found a second cluster
+// beside a running one nor return as the voter that it was. Every host stores
+// the initial members itself, so the group survives the loss of the founder
+// from the start.
 asio::awaitable<void> control_loop::found_cluster()
 {
     const auto self = shared_from_this();
-    const std::uint64_t own = identity_.identity();
+    const std::uint64_t own_identity = identity_.identity();
     while (!stopped_ && identity_.cluster() == 0)
     {
         const auto members = co_await query_founders();
@@ -101,7 +102,8 @@
         {
             const bool joined = co_await request_joins(*members);
             if (joined &&
-                adopt_cluster(own, settings_.claim_groups + 1, *members))
+                adopt_cluster(
+                    own_identity, settings_.claim_groups + 1, *members))
             {
                 co_return;
             }
@@ -110,12 +112,12 @@
     }
 }
 
-// The first members; empty where one of them belongs to another cluster, and
-// nothing while not all have answered.
+// Returns the initial members: empty if one of them belongs to another cluster,
+// nullopt while not all have answered.
 asio::awaitable<std::optional<messages::replica_set>>
 control_loop::query_founders()
 {
-    const std::uint64_t own = identity_.identity();
+    const std::uint64_t own_identity = identity_.identity();
     messages::replica_set members;
     for (const auto& host : founders())
     {
@@ -123,7 +125,7 @@
         member.set_host(settings_.self.str());
         member.set_address(to_text(host.address));
         member.set_voter(true);
-        member.set_identity(own);
+        member.set_identity(own_identity);
         if (is_self(host))
         {
             continue;
@@ -135,7 +137,7 @@
             co_return std::nullopt;
         }
         member.set_host(reply->host());
-        if (reply->cluster() != 0 && reply->cluster() != own)
+        if (reply->cluster() != 0 && reply->cluster() != own_identity)
         {
             co_return messages::replica_set();
         }
@@ -147,9 +149,9 @@
 asio::awaitable<bool>
 control_loop::request_joins(const messages::replica_set& members)
 {
-    const std::uint64_t own = identity_.identity();
+    const std::uint64_t own_identity = identity_.identity();
     messages::join_request request;
-    request.set_cluster(own);
+    request.set_cluster(own_identity);
     request.set_groups(settings_.claim_groups + 1);
     *request.mutable_founding() = members;
     for (const auto& host : founders())
@@ -159,7 +161,7 @@
             continue;
         }
         const auto reply = co_await ask_to_join(host.address, request);
-        if (!reply || reply->cluster() != own)
+        if (!reply || reply->cluster() != own_identity)
         {
             co_return false;
         }
@@ -196,8 +198,9 @@
     return reply;
 }
 
-// The files first, then the identity that demands them. Durable before it is
-// answered: only this cluster's messages are taken from then on.
+// Writes the files first, then the identity that requires them. Both are
+// durable before the host replies, as it accepts only this cluster's messages
+// from then on.
 bool control_loop::adopt_cluster(
     std::uint64_t cluster,
     std::uint32_t groups,
@@ -243,7 +246,7 @@
     messages::join_request invitation;
     invitation.set_cluster(identity_.cluster());
     invitation.set_groups(identity_.groups());
-    // A host that has just started may still be taken for unreachable.
+    // A host that has just started may still be considered unreachable.
     const auto join_deadline = host_clock().now() + invitation_timeout;
     auto joined = co_await ask_to_join(*address, invitation);
     while (!joined && !stopped_ && host_clock().now() < join_deadline)
@@ -315,13 +318,14 @@
         {
             return;
         }
-        const replacement wanted{host_id(request.old_host()), request.added()};
+        const replacement requested{
+            host_id(request.old_host()), request.added()};
         const replica_id added(request.added().identity());
-        const auto step =
-            next_step(core.members(), wanted, is_caught_up(core, added, now));
+        const auto step = next_step(
+            core.members(), requested, is_caught_up(core, added, now));
         reply.set_done(
             step == replacement_step::done && core.members_committed());
-        auto members = membership_after(core.members(), wanted, step);
+        auto members = membership_after(core.members(), requested, step);
         if (!members)
         {
             return;
--- a/nutmegusher/node/control_service.cpp
+++ b/nutmegusher/node/control_service.cpp
@@ -21,7 +21,7 @@
 {
 
 constexpr duration hand_over_limit = std::chrono::seconds(3);
-// What `history` shows at most.
+// The maximum number of changes that `history` returns.
 constexpr std::size_t max_history = 1000;
 constexpr std::string_view sync_path = "/control/sync";
 constexpr std::string_view registry_path = "/control/registry";
@@ -48,7 +48,7 @@
     return made;
 }
 
-// The fields of a replacement's body.
+// The fields of a replacement request's body.
 struct replace_command
 {
     host_id old_host;
@@ -66,7 +66,7 @@
         return leaf::new_error(json_error{json_problem::not_an_object, ""});
     }
     const auto& object = value.get_object();
-    const auto text_of =
+    const auto string_field =
         [&object](std::string_view field) -> leaf::result<std::string>
     {
         const auto* const found = object.if_contains(field);
@@ -78,9 +78,9 @@
         }
         return std::string(found->get_string());
     };
-    BOOST_LEAF_AUTO(old_host, text_of("old"));
-    BOOST_LEAF_AUTO(new_host, text_of("new"));
-    BOOST_LEAF_AUTO(address, text_of("address"));
+    BOOST_LEAF_AUTO(old_host, string_field("old"));
+    BOOST_LEAF_AUTO(new_host, string_field("new"));
+    BOOST_LEAF_AUTO(address, string_field("address"));
     const auto parsed = parse_endpoint(address);
     if (!parsed)
     {
@@ -90,7 +90,7 @@
     return replace_command{host_id(old_host), host_id(new_host), *parsed};
 }
 
-unsigned status_of(replace_outcome outcome)
+unsigned http_status_of(replace_outcome outcome)
 {
     switch (outcome)
     {
@@ -111,7 +111,7 @@
 namespace
 {
 
-// Of its own, as a `file_disk` locks its folder.
+// A separate folder, as a `file_disk` locks the folder that it uses.
 constexpr std::string_view crash_folder = "crashes";
 
 void persist(file_disk& disk, const std::vector<crash_record>& records)
@@ -149,7 +149,7 @@
     asio::io_context context{1};
     asio::executor_work_guard<asio::io_context::executor_type> work_guard;
     std::unique_ptr<control_logs> logs;
-    // Used on `thread` once that runs.
+    // Used only on `thread` once that runs.
     std::optional<file_disk> crash_disk;
     std::unique_ptr<sync_server> syncs;
     std::thread thread;
@@ -162,7 +162,7 @@
     {
         return logs->at();
     };
-    // Daemons have no use for the operator's own bytes.
+    // Daemons do not need the source text that the operator installed.
     source.changes_since = [this](revision from)
     {
         auto delta = logs->since(from);
@@ -191,7 +191,7 @@
     };
     source.persist_crashes = [this](std::vector<crash_record> records)
     {
-        // The disk may take its time.
+        // Written on the logs' thread, as the disk may be slow.
         asio::post(
             context,
             [this, records = std::move(records)]
@@ -236,10 +236,10 @@
 
 json::value control_service::state::rollout() const
 {
-    const revision wanted(logs->present().revision());
+    const revision current_revision(logs->present().revision());
     const auto tally = syncs->rollout();
     json::array lagging;
-    for (const auto& each : tally.lagging(wanted))
+    for (const auto& each : tally.lagging(current_revision))
     {
         lagging.push_back(json::object{
             {"host", each.host.str()},
@@ -253,9 +253,9 @@
             {"revision", each.revision()}, {"daemons", each.daemons()}});
     }
     return json::object{
-        {"revision", wanted.value()},
+        {"revision", current_revision.value()},
         {"daemons", tally.daemons()},
-        {"in_force", tally.daemons_at(wanted)},
+        {"in_force", tally.daemons_at(current_revision)},
         {"counts", std::move(counts)},
         {"lagging", std::move(lagging)}};
 }
@@ -294,7 +294,7 @@
     const auto result = co_await logs->replace_member(
         command->old_host, command->new_host, command->address);
     json::value answer = json::object{{"outcome", to_string(result)}};
-    co_return std::pair(status_of(result), std::move(answer));
+    co_return std::pair(http_status_of(result), std::move(answer));
 }
 
 leaf::result<std::unique_ptr<control_service>>
--- a/nutmegusher/node/control_test_hosts.hpp
+++ b/nutmegusher/node/control_test_hosts.hpp
@@ -1,5 +1,5 @@
-// Control hosts in one process over real files and connections; for tests and
-// benchmarks.
+// Runs control hosts in one process over real files and connections, for tests
+// and benchmarks.
 #ifndef NUTMEGUSHER_NODE_CONTROL_TEST_HOSTS_HPP
 #define NUTMEGUSHER_NODE_CONTROL_TEST_HOSTS_HPP
 
@@ -22,7 +22,7 @@
 namespace nutmegusher::node
 {
 
-// A folder that goes with its owner.
+// A temporary folder that is deleted with this object.
 class scratch_folder
 {
 public:
@@ -50,7 +50,7 @@
     std::filesystem::path path_;
 };
 
-// One control host: its logs and its peer listener, on a thread of their own.
+// One control host with its logs and its peer listener, on a thread of its own.
 class running_host
 {
 public:
@@ -98,7 +98,7 @@
         return context_;
     }
 
-    // Waits for a coroutine that runs on the host's thread.
+    // Runs a coroutine on the host's thread and waits for its result.
     template <class T>
     T get(asio::awaitable<T> action)
     {
@@ -113,18 +113,19 @@
     std::thread thread_;
 };
 
-// A port that was free a moment ago, on an address that other processes' tests
-// and outgoing connections don't use: they could take it before it is used.
+// Returns an address whose port was free a moment ago. Its IP address is unique
+// to this process, so that neither tests in other processes nor outgoing
+// connections take the port before it is used.
 inline asio::ip::tcp::endpoint free_address()
 {
     asio::io_context context;
     const auto process = static_cast<std::uint32_t>(::getpid());
     constexpr std::uint32_t loopback = 0x7f000000;
-    constexpr std::uint32_t own_part = 0x7fff;
-    const asio::ip::address_v4 own(
-        loopback | (1U << 23) | ((process & own_part) << 8) | 1U);
-    const asio::ip::tcp::endpoint any(own, 0);
-    asio::ip::tcp::acceptor acceptor(context, any);
+    constexpr std::uint32_t process_mask = 0x7fff;
+    const asio::ip::address_v4 own_address(
+        loopback | (1U << 23) | ((process & process_mask) << 8) | 1U);
+    const asio::ip::tcp::endpoint any_port(own_address, 0);
+    asio::ip::tcp::acceptor acceptor(context, any_port);
     return acceptor.local_endpoint();
 }
 
--- a/nutmegusher/node/sync_server.cpp
+++ b/nutmegusher/node/sync_server.cpp
@@ -20,15 +20,16 @@
 
 constexpr auto as_tuple_awaitable = asio::as_tuple(asio::use_awaitable);
 
-// Between two exchanges with one other control host: a new upstream is known
-// everywhere within twice of it.
+// Between two exchanges with another control host. A new upstream is known on
+// all control hosts within twice this time.
 constexpr duration exchange_interval = std::chrono::milliseconds(100);
 constexpr duration exchange_timeout = std::chrono::milliseconds(500);
-// The clock has moved on by then.
+// Added to a deadline, so that the clock has passed it when the timer fires.
 constexpr duration clock_resolution = std::chrono::milliseconds(1);
 constexpr std::size_t chunk_bytes = 16384;
 constexpr std::size_t max_request_bytes = 1024 * 1024;
-// A daemon can't make a control host hold its sync for longer.
+// The maximum time that a control host holds a sync, whatever the daemon asks
+// for.
 constexpr duration max_wait = std::chrono::seconds(5);
 
 asio::awaitable<std::optional<std::string>>
@@ -56,9 +57,9 @@
 write_all(wire::server_stream& stream, const std::string& body)
 {
     wire::response_head head{200, {}};
-    const auto begun =
+    const auto head_written =
         co_await stream.write_head(std::move(head), body.empty());
-    if (begun && !body.empty())
+    if (head_written && !body.empty())
     {
         co_await stream.write(std::as_bytes(std::span(body)), true);
     }
@@ -80,7 +81,7 @@
 
 } // namespace
 
-// A sync that is held until there is news.
+// A sync that is held until there are updates.
 struct sync_server::waiter
 {
     explicit waiter(const asio::any_io_executor& on)
@@ -171,15 +172,15 @@
     bool changed = false;
     {
         const std::scoped_lock lock(mutex_);
-        const auto before = registry_.counts().stamp;
-        const auto renewed = registry_.renew(arrived, request);
-        reply.set_accepted(renewed == renewal_result::accepted);
+        const auto old_stamp = registry_.counts().stamp;
+        const auto renewal = registry_.renew(arrived, request);
+        reply.set_accepted(renewal == renewal_result::accepted);
         if (!reply.accepted())
         {
             reply.set_known_incarnation(
                 registry_.known_incarnation(request.host()));
         }
-        changed = registry_.counts().stamp != before;
+        changed = registry_.counts().stamp != old_stamp;
         changed = merge_crashes(request.crashes()) || changed;
     }
     if (!reply.accepted())
@@ -190,8 +191,8 @@
     {
         notify();
     }
-    // Who can't be sure says so at once: a daemon that starts has others to
-    // ask.
+    // A host that is not current answers at once: a daemon that starts can ask
+    // others.
     const bool may_confirm = request.linearizable() && !is_stale(arrived);
     if (may_confirm)
     {
@@ -200,7 +201,8 @@
     const duration wait = std::chrono::milliseconds(request.wait_ms());
     const auto until = host_clock().now() + std::min(wait, max_wait);
     co_await wait_for_news(request, until);
-    // Before the delta is made, which may then hold more and never less.
+    // Read before the delta is built, which may then contain more but never
+    // less.
     const auto confirmed = reply.linearizable() ? arrived : time_point();
     const auto current_at = std::max(source_.known_current_at(), confirmed);
     reply.set_current_after_ms(
@@ -333,10 +335,11 @@
     }
     while (host_clock().now() < until && !has_news(request))
     {
-        // A sync isn't held on knowledge that has become old meanwhile.
-        const auto old_at =
+        // A sync is not held any longer once this host's state has become too
+        // old.
+        const auto stale_at =
             source_.known_current_at() + max_hold_age + clock_resolution;
-        own_waiter->timer.expires_at(std::min(until, old_at));
+        own_waiter->timer.expires_at(std::min(until, stale_at));
         co_await own_waiter->timer.async_wait(as_tuple_awaitable);
     }
 }
@@ -355,16 +358,17 @@
 
 asio::awaitable<void> sync_server::exchange_leases(wire::session_pool& peers)
 {
-    asio::steady_timer pause(co_await asio::this_coro::executor);
+    asio::steady_timer interval_timer(co_await asio::this_coro::executor);
     while (true)
     {
         for (auto& other : source_.control_hosts())
         {
-            // One that doesn't answer must not hold up the others.
+            // Exchanges run concurrently, so that a host that does not answer
+            // does not delay the others.
             if (other.host() != self_.str() && begin_exchange(other.host()))
             {
                 asio::co_spawn(
-                    pause.get_executor(),
+                    interval_timer.get_executor(),
                     exchange_with(peers, std::move(other)),
                     asio::detached);
             }
@@ -376,10 +380,10 @@
             {
                 co_return;
             }
-            const auto before = registry_.counts().stamp;
+            const auto old_stamp = registry_.counts().stamp;
             registry_.expire(host_clock().now());
             crashes_.expire(host_clock().now());
-            changed = registry_.counts().stamp != before;
+            changed = registry_.counts().stamp != old_stamp;
             std::erase_if(
                 waiters_,
                 [](const auto& each)
@@ -391,8 +395,8 @@
         {
             notify();
         }
-        pause.expires_after(exchange_interval);
-        co_await pause.async_wait(as_tuple_awaitable);
+        interval_timer.expires_after(exchange_interval);
+        co_await interval_timer.async_wait(as_tuple_awaitable);
     }
 }
 
@@ -437,9 +441,9 @@
     bool changed = false;
     {
         const std::scoped_lock lock(mutex_);
-        const auto before = registry_.counts().stamp;
+        const auto old_stamp = registry_.counts().stamp;
         registry_.apply(host_clock().now(), host_id(other.host()), update);
-        changed = registry_.counts().stamp != before;
+        changed = registry_.counts().stamp != old_stamp;
         changed = merge_crashes(update.crashes()) || changed;
         crash_positions_[other.host()] = {
             update.crash_epoch(), update.crash_stamp()};
