--- a/nutmegusher/node/admission_gate.cpp
+++ b/nutmegusher/node/admission_gate.cpp
@@ -10,8 +10,9 @@
 namespace
 {
 
-// Ticks come every 20 ms at most. A longer gap is a pause of this process;
-// shorter ones are scheduling, as for a stall of the upstream.
+// The timer ticks at least every 20 ms. A gap longer than this limit means that
+// this process was paused; shorter gaps are normal scheduling delay, as they
+// are when a stall of the upstream is detected.
 constexpr duration max_tick_gap = std::chrono::milliseconds(50);
 
 } // namespace
@@ -64,8 +65,8 @@
     co_return *verdict;
 }
 
-// What waited in the sockets during a pause is handled before the timer's tick,
-// so each event looks for itself.
+// After a pause, requests that queued up in the sockets are handled before the
+// next timer tick, so every event checks for a pause itself.
 void admission_gate::detect_pause(time_point now)
 {
     if (last_tick_ && now - *last_tick_ > max_tick_gap)
--- a/nutmegusher/node/admission_gate.hpp
+++ b/nutmegusher/node/admission_gate.hpp
@@ -1,5 +1,6 @@
-// The admission controller of the upstream on this host, shared by all worker
-// threads: calls suspend here while they wait for their turn.
+// A thread-safe, asynchronous front end to the admission controller of the
+// upstream on this host. All worker threads share it; a call's coroutine
+// suspends here while the call is queued.
 #ifndef NUTMEGUSHER_NODE_ADMISSION_GATE_HPP
 #define NUTMEGUSHER_NODE_ADMISSION_GATE_HPP
 
@@ -24,34 +25,37 @@
 class admission_gate
 {
 public:
-    // With `naive` everything is admitted, as measurements' baseline.
+    // With `naive` every call is admitted: the baseline of benchmarks.
     admission_gate(std::uint64_t seed, bool naive);
     admission_gate(const admission_gate&) = delete;
     admission_gate& operator=(const admission_gate&) = delete;
     ~admission_gate();
 
-    // A ticket that no other call has.
+    // Returns a unique ticket.
     ticket_id next_ticket();
 
-    // Suspends until the call is let in or refused; resumes on the executor
-    // that it was called on.
+    // Suspends until the call is admitted or refused, then resumes on the
+    // caller's executor.
     asio::awaitable<gate_verdict> enter(call_info call);
 
-    // Requires: `enter` gave `admitted` for `call`.
+    // Releases the call's slot. Requires: `enter` returned `admitted` for
+    // `call`.
     void finish(const call_info& call, call_result result);
 
-    // The upstream makes a sub-call for the request that runs here, and has its
-    // answer. Requests that don't run here change nothing.
+    // Report that the upstream starts a sub-call on behalf of `request`,
+    // and that the sub-call has ended. Ignored if `request` isn't running
+    // here.
     void sub_call_started(std::uint64_t request);
     void sub_call_ended(std::uint64_t request, bool refused_for_load);
 
-    // Whether a sub-call of the running call was refused for overload.
+    // Whether a sub-call of the running request was refused for overload.
     [[nodiscard]] bool sub_call_refused(std::uint64_t request) const;
 
-    // The caller of a waiting call went away; its `enter` gives `caller_left`.
+    // Withdraws a queued call whose caller has disconnected; its `enter`
+    // returns `caller_left`.
     void cancel(ticket_id ticket);
 
-    // Does what is due by now; call it every few milliseconds.
+    // Runs all timers that are due. Call it every few milliseconds.
     void tick();
 
     void begin_warm_up();
@@ -75,10 +79,10 @@
     admission_controller controller_;
     std::uint64_t last_ticket_ = 0;
     waiting_calls waiting_;
-    // The last tick; nothing before the first one.
+    // Time of the last tick; empty before the first one.
     std::optional<time_point> last_tick_;
-    // By the hash of the request id; of a request that calls itself in a
-    // circle the last call counts.
+    // Keyed by the hash of the request ID. If a request calls itself
+    // recursively, only its latest call is kept.
     std::unordered_map<std::uint64_t, running_call> running_;
 };
 
--- a/nutmegusher/node/claim_client.cpp
+++ b/nutmegusher/node/claim_client.cpp
@@ -12,10 +12,11 @@
 namespace
 {
 
-// A commit takes milliseconds; a control host that takes longer is about to
-// lose its leadership, and another one will know the new leader.
+// A commit takes milliseconds. A control host that takes longer is probably
+// losing its leadership, and another host will know the new leader.
 constexpr duration per_host_timeout = std::chrono::milliseconds(400);
-// Between two rounds over all control hosts, while a leader is elected.
+// The pause between two rounds over all control hosts, while a leader is
+// elected.
 constexpr duration round_pause = std::chrono::milliseconds(25);
 
 } // namespace
--- a/nutmegusher/node/claim_client.hpp
+++ b/nutmegusher/node/claim_client.hpp
@@ -1,4 +1,4 @@
-// Asks the claim logs on the control hosts. Belongs to one worker.
+// The client of the claim logs on the control hosts.
 #ifndef NUTMEGUSHER_NODE_CLAIM_CLIENT_HPP
 #define NUTMEGUSHER_NODE_CLAIM_CLIENT_HPP
 
@@ -19,13 +19,14 @@
 
 namespace asio = boost::asio;
 
-// The log that keeps a key's claims: all hosts must agree on it, so that the
-// number of groups is fixed when the control hosts first start.
+// The number, from 1, of the claim log (Raft group) that stores the claims of
+// `key`. All hosts must compute the same number, so the number of groups is
+// fixed when the control hosts first start.
 [[nodiscard]] std::uint32_t
 claim_group_of(const messages::claim_key& key, std::uint32_t groups);
 
-// Where the claim logs are led and where control hosts are, as the last sync
-// told. Safe from every thread.
+// The leaders of the claim logs and the addresses of the control hosts, as the
+// latest sync reported them. Thread-safe.
 class claim_directory
 {
 public:
@@ -38,8 +39,8 @@
         std::vector<std::optional<endpoint>> leaders,
         std::vector<endpoint> control_hosts);
 
-    // The leader of the key's log first, then the other control hosts: they
-    // pass a command on to the leader that they know.
+    // The leader of the key's log, if known, followed by the other control
+    // hosts, which forward a command to the leader they know.
     [[nodiscard]] std::vector<endpoint>
     hosts_for(const messages::claim_key& key) const;
 
@@ -51,9 +52,9 @@
     std::vector<endpoint> control_hosts_;
 };
 
-// Proposes the command to the log of its key, at several control hosts until
-// one gives a verdict or `time_left` is over. Nothing: it isn't known whether
-// the command was or will be applied; sending it again is safe.
+// Proposes the command to the log of its key, trying control hosts in turn
+// until one returns a verdict or `time_left` has passed. Empty: the command may
+// or may not have been applied, now or later; resending it is safe.
 asio::awaitable<std::optional<messages::claim_result>> propose_claim(
     wire::session_pool& peers,
     const claim_directory& directory,
--- a/nutmegusher/node/claim_filter.cpp
+++ b/nutmegusher/node/claim_filter.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-// Outcomes with larger bodies are kept as a digest only.
+// Of larger answer bodies only the digest is stored.
 constexpr std::size_t max_stored_bytes = 16384;
-// Before a proposal whose fate is unknown is sent again.
+// The pause before a proposal without a reply is resent.
 constexpr duration resend_delay = std::chrono::milliseconds(20);
-// One proposal's time; a change of leader fits into it.
+// The timeout of one proposal; long enough for a change of leader.
 constexpr duration propose_timeout = std::chrono::seconds(1);
 
 messages::stored_answer to_stored(const buffered_answer& buffered)
@@ -65,7 +65,9 @@
     return call_reason::connection_lost;
 }
 
-// When asking again may help: about the time that the class promises.
+// How long the caller should wait before it asks again: half of the time left
+// until the deadline (about the class's target latency), at least 100 ms. Zero
+// for a reused key, where a retry can't succeed.
 duration retry_after_of(const peer_call& call, outcome_reason reason)
 {
     if (reason == outcome_reason::key_reused)
@@ -93,7 +95,8 @@
     return request;
 }
 
-// Performs the steps of one guard until it has ended.
+// Executes the steps that the call's `execution_guard` asks for, until it asks
+// for none.
 class claimed_execution
 {
 public:
@@ -140,7 +143,8 @@
             co_return guard_.cancel(
                 wall_milliseconds(), outcome_reason::cancelled);
         }
-        // Like a sub-call, the time of a claim isn't the upstream's own.
+        // Waiting for the claim log isn't processing time of the
+        // upstream; like a sub-call it is excluded from it.
         auto& gate = call_.owner.shared.admission;
         const auto request = stable_hash(call_.metadata.request.str());
         gate.sub_call_started(request);
@@ -169,7 +173,8 @@
     asio::awaitable<guard_step> start()
     {
         co_await run_();
-        // The outcome is recorded without a slot: it isn't the upstream's work.
+        // Frees the slot first: recording the outcome doesn't use the
+        // upstream.
         call_.release_slot();
         if (call_.answer && !refused_without_effect())
         {
--- a/nutmegusher/node/claim_filter.hpp
+++ b/nutmegusher/node/claim_filter.hpp
@@ -1,4 +1,4 @@
-// A call that may not be repeated runs only under its claim.
+// Runs a call that isn't repeatable only while this daemon holds its claim.
 #ifndef NUTMEGUSHER_NODE_CLAIM_FILTER_HPP
 #define NUTMEGUSHER_NODE_CLAIM_FILTER_HPP
 
@@ -9,8 +9,9 @@
 namespace nutmegusher::node
 {
 
-// Load pattern: none; correctness. Without it a client's second try through
-// another daemon, or a late answer, would run the call twice.
+// Pattern of load: none; this is for correctness. Without it a client's retry
+// through another daemon, or an answer that arrives late, would run the call
+// twice.
 class claim_filter
 {
 public:
--- a/nutmegusher/node/pressure_controller.hpp
+++ b/nutmegusher/node/pressure_controller.hpp
@@ -1,6 +1,7 @@
-// What the entry has learned of pressure further down, by class: the gate, the
-// retry budget, keys that came again, and the levels that sub-calls brought.
-// Safe from every thread: classes are spread over shards with their own locks.
+// The entry daemon's view of the load further down the call path, by class: the
+// entry gate, the retry budget, the detection of repeated keys, and the
+// admission levels reported for sub-calls. Thread-safe: classes are spread over
+// shards, each with its own lock.
 #ifndef NUTMEGUSHER_NODE_PRESSURE_CONTROLLER_HPP
 #define NUTMEGUSHER_NODE_PRESSURE_CONTROLLER_HPP
 
@@ -24,25 +25,30 @@
     {
     }
 
-    // A refusal at the entry, its time to come back already spread.
+    // Decides on a call at the entry; empty: it may proceed. The refusal's
+    // `retry_after` is already jittered.
     std::optional<refused> check(const call_info& call, random_engine& engine);
 
-    // What lay ahead of a request of the class that was answered.
+    // Records the admission level of the call path ahead, as reported with
+    // the answer to a request.
     void on_level(const call_info& call, const admission_level& level);
 
-    // What lay ahead of a sub-call made for a request of `root_class`.
+    // Records the admission level of the call path of a sub-call made for a
+    // request of `root_class`.
     void
     on_sub_call_level(std::uint64_t root_class, const admission_level& level);
 
-    // What an answer to a request of the class should carry upwards, besides
-    // the upstream's own level.
+    // The admission level of the class's sub-calls, which an answer to a
+    // request of the class reports to the caller's daemon besides the
+    // upstream's own level.
     [[nodiscard]] admission_level deeper_for(std::uint64_t work_class) const;
 
-    // The retry tokens of a new request. `key_hash` is 0 without a key.
+    // Returns the number of retry tokens for a new request. `key_hash` is
+    // the hash of its customer and key, or 0 without a key.
     std::uint32_t
     begin_request(std::uint64_t work_class, std::uint64_t key_hash);
 
-    // It ended and brought `left` of its `given` tokens back.
+    // Ends a request that has `left` of its `given` tokens left.
     void end_request(
         std::uint64_t work_class, std::uint32_t given, std::uint32_t left);
 
--- a/nutmegusher/node/waiting_calls.cpp
+++ b/nutmegusher/node/waiting_calls.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-// `verdict` and `timer` are touched on `executor` only.
+// `verdict` and `timer` are accessed on `executor` only.
 struct waiting_calls::waiter
 {
     explicit waiter(const asio::any_io_executor& on)
--- a/nutmegusher/node/worker.hpp
+++ b/nutmegusher/node/worker.hpp
@@ -1,4 +1,4 @@
-// One worker thread's own things, and what all workers share.
+// The state of one worker thread, and the state that all workers share.
 #ifndef NUTMEGUSHER_NODE_WORKER_HPP
 #define NUTMEGUSHER_NODE_WORKER_HPP
 
@@ -28,8 +28,8 @@
 
 namespace asio = boost::asio;
 
-// The controllers that hold this process's state. Each locks for itself and is
-// safe from every thread.
+// The controllers that hold this process's shared state. Each has its own lock
+// and is thread-safe.
 struct controllers
 {
     controllers(const settings& from, incarnation run);
@@ -47,19 +47,21 @@
     metrics request_metrics;
     // A graceful shutdown has begun.
     std::atomic<bool> stopping = false;
-    // So far on that only the own upstream's sub-calls are served.
+    // The shutdown has reached the step from which only sub-calls of the
+    // own upstream are served.
     std::atomic<bool> refuses_callers = false;
-    // Makes the next sync with a control host happen at once; set before the
-    // workers run.
+    // Triggers a sync with a control host at once. Set before the workers
+    // run.
     std::function<void()> request_sync = [] {};
 };
 
-// What one thread uses without locks.
+// State that one thread uses without locks.
 struct worker
 {
     worker(controllers& shared, std::size_t index);
 
-    // "host#2": a worker's attempts have numbers of their own.
+    // The entry host named in attempts, such as "host#2": each worker
+    // numbers its attempts separately.
     std::string attempt_name;
     controllers& shared;
     asio::io_context context;
@@ -69,7 +71,8 @@
     attempt_sequence attempts;
 };
 
-// The host's wall time in ms since 1970; only for what outlives the process.
+// The wall-clock time in ms since 1970. Use it only for data that outlives the
+// process.
 [[nodiscard]] std::uint64_t wall_milliseconds();
 
 } // namespace nutmegusher::node
