--- a/nutmegusher/node/call.cpp
+++ b/nutmegusher/node/call.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t max_token_length = 128;
 constexpr std::string_view own_prefix = "nutmeg-";
-// Above this a number of milliseconds is a mistake (a day).
+// One day. A larger number is taken for a mistake and rejected.
 constexpr std::uint32_t max_milliseconds = 86400000;
 
 struct reason_text
--- a/nutmegusher/node/call.hpp
+++ b/nutmegusher/node/call.hpp
@@ -1,5 +1,5 @@
-// What travels with a call: its headers, and the answer of one that is given
-// up on. `docs/INTERFACE.md` describes them for users.
+// The headers that daemons add to calls, and the encoding of refusals as
+// answers. `docs/INTERFACE.md` describes both for users.
 #ifndef NUTMEGUSHER_NODE_CALL_HPP
 #define NUTMEGUSHER_NODE_CALL_HPP
 
@@ -35,11 +35,11 @@
 inline constexpr std::string_view tries = "nutmeg-tries";
 inline constexpr std::string_view retry_after = "retry-after";
 inline constexpr std::string_view retry_after_ms = "nutmeg-retry-after-ms";
-// From an upstream: this refused call had no effect.
+// Set by an upstream: the call that it refused had no effect.
 inline constexpr std::string_view not_run = "nutmeg-not-run";
 } // namespace field
 
-// Why a call was given up on.
+// Why a call was refused or failed.
 enum class call_reason : std::uint8_t
 {
     bad_request,
@@ -57,12 +57,12 @@
     overload_deeper, // a sub-call of it was refused for overload
     leaving,
     no_upstream,
-    quarantined,    // upstreams have ended while they ran it
-    other_upstream, // the host that was asked serves another service now
+    quarantined,    // upstreams have crashed while running this request
+    other_upstream, // the host contacted now serves another service
     starting,
     claims_unavailable,
     deadline,
-    upstream_refused, // by the upstream itself, without having run it
+    upstream_refused, // the upstream refused it without running it
     upstream_failed,
     answer_broken,
     connection_lost,
@@ -74,10 +74,11 @@
 [[nodiscard]] std::optional<call_outcome> parse_outcome(std::string_view text);
 [[nodiscard]] std::optional<call_reason> parse_reason(std::string_view text);
 
-// The HTTP status of an answer that gives a call up.
+// The HTTP status of a refusal for this reason.
 [[nodiscard]] unsigned status_of(call_reason reason);
 
-// A call that is given up on, and when a later try may help (zero: never).
+// The answer to a call that is refused or has failed. `retry_after` tells when
+// a retry may succeed; zero: never.
 struct refusal
 {
     call_reason reason = call_reason::overload;
@@ -85,27 +86,29 @@
     duration retry_after{};
 };
 
-// The head of the answer that says so.
+// The head of the HTTP answer that carries the refusal.
 [[nodiscard]] wire::response_head to_head(const refusal& refused);
 
-// Reads one back; nothing if the answer isn't a refusal of ours.
+// Parses a refusal from an answer's head; empty if the answer isn't a refusal
+// made by a daemon.
 [[nodiscard]] std::optional<refusal>
 refusal_of(const wire::response_head& head);
 
-// A whole number of milliseconds from a header.
+// Parses a header's whole number of milliseconds; empty if it is malformed or
+// longer than a day.
 [[nodiscard]] std::optional<duration> parse_milliseconds(std::string_view text);
 [[nodiscard]] std::string to_milliseconds(duration time);
 [[nodiscard]] std::optional<std::uint32_t> parse_count(std::string_view text);
 
-// "host/incarnation/sequence", as the header `nutmeg-attempt` holds it.
+// "host/incarnation/sequence", the format of the header `nutmeg-attempt`.
 [[nodiscard]] std::string to_text(const messages::attempt& attempt);
 [[nodiscard]] std::optional<messages::attempt>
 parse_attempt(std::string_view text);
 
-// 1 to 128 visible ASCII characters.
+// Whether `text` consists of 1 to 128 visible ASCII characters.
 [[nodiscard]] bool is_token(std::string_view text);
 
-// The fields without those whose names start with "nutmeg-".
+// Returns the fields whose names don't start with "nutmeg-".
 [[nodiscard]] wire::headers
 without_own_fields(std::span<const wire::header> fields);
 
--- a/nutmegusher/node/entry_call.hpp
+++ b/nutmegusher/node/entry_call.hpp
@@ -1,4 +1,4 @@
-// One request as the daemon at its entry sees it.
+// The state of one request at the daemon where it enters.
 #ifndef NUTMEGUSHER_NODE_ENTRY_CALL_HPP
 #define NUTMEGUSHER_NODE_ENTRY_CALL_HPP
 
@@ -28,7 +28,7 @@
     caller_exchange& exchange;
     request_origin origin;
     time_point arrived;
-    // Keeps `work_class` alive.
+    // Owns the object that `work_class` points into.
     std::shared_ptr<const configuration_view> classes;
     const class_entry* work_class = nullptr;
     request_id request;
@@ -36,17 +36,18 @@
     std::string key;
     std::uint8_t rank = 0;
     time_point deadline;
-    // Tokens of this request at this hop; a sub-call's are in its handle.
+    // Retry tokens of a request that isn't a sub-call; a sub-call draws its
+    // tokens from `sub_call`.
     retry_tokens own_tokens;
     std::optional<request_ledger::sub_call> sub_call;
     std::string body;
     bool body_complete = false;
     std::uint32_t tries = 0;
-    // No further try is of use: the caller has closed its connection, or gets a
-    // final answer now.
+    // Set when a further try is useless: the caller has closed its
+    // connection, or is being sent a final answer.
     std::shared_ptr<bool> caller_gone = std::make_shared<bool>(false);
     bool answered = false;
-    // Set where it was given up on.
+    // Set once the request was refused or has failed.
     std::optional<call_reason> refused_reason;
 
     [[nodiscard]] retry_tokens& tokens()
@@ -61,10 +62,11 @@
 
     [[nodiscard]] call_info info() const;
 
-    // Answers with a refusal; does nothing where an answer was begun.
+    // Answers with a refusal; does nothing if an answer was already
+    // started.
     asio::awaitable<void> refuse(refusal refused);
 
-    // Notes a whole answer.
+    // Records in the metrics that the caller got a complete answer.
     void count_completed();
 };
 
--- a/nutmegusher/node/entry_chain.cpp
+++ b/nutmegusher/node/entry_chain.cpp
@@ -14,7 +14,8 @@
 {
 
 constexpr std::size_t chunk_bytes = 16384;
-// A refusal of the daemon itself, not of an upstream: another daemon serves.
+// Retry after a refusal that concerns this daemon alone, not the upstream:
+// another daemon can serve the retry.
 constexpr duration retry_elsewhere_after = std::chrono::milliseconds(100);
 
 std::string header_text(const entry_call& call, std::string_view name)
@@ -34,7 +35,7 @@
     return request_id(std::string_view(text.data(), text.size() - 1));
 }
 
-// Finds the class, and checks what its requests must bring.
+// Finds the request's class and validates the headers that the class requires.
 struct classify_filter
 {
     template <class Next>
@@ -101,8 +102,9 @@
     }
 };
 
-// Tells the admission beside the upstream that a call of it waits for a
-// sub-call: that time isn't the upstream's own.
+// While it exists, the admission controller beside the upstream knows that the
+// calling request waits for a sub-call; that time doesn't count as processing
+// time of the upstream.
 class sub_call_scope
 {
 public:
@@ -138,8 +140,8 @@
     entry_call& call_;
 };
 
-// A sub-call joins the request that it is a part of; a request of a member or
-// a clerk gets its retry tokens.
+// Attaches a sub-call to the request that it belongs to. A request of a member
+// or a clerk gets new retry tokens.
 struct request_filter
 {
     template <class Next>
@@ -197,11 +199,12 @@
         }
     }
 
-    // Leaves one for a sub-call that runs beside this one.
+    // Leaves one token for a sub-call that runs in parallel.
     static constexpr std::uint32_t sub_call_tokens = tokens_per_request - 1;
 };
 
-// Keeps the body, so that a call can be tried again; a long one streams.
+// Buffers the body, so that the call can be retried; a body beyond the limit is
+// streamed, and the call isn't retried.
 struct buffer_body_filter
 {
     template <class Next>
@@ -213,7 +216,8 @@
                                    : limits.claimed_body_bytes;
         if (!co_await read(call, max_bytes))
         {
-            co_return; // the caller has gone, or its request is malformed
+            co_return; // the caller has disconnected, or the request was
+                       // refused
         }
         if (!call.work_class->repeatable && !call.body_complete)
         {
@@ -259,7 +263,8 @@
     }
 };
 
-// Refuses here what would be refused further down.
+// Refuses at the entry the calls that would be refused further down the call
+// path.
 struct gate_filter
 {
     template <class Next>
--- a/nutmegusher/node/entry_chain.hpp
+++ b/nutmegusher/node/entry_chain.hpp
@@ -1,6 +1,7 @@
-// What happens to a request where it enters: at the daemon that a member or a
-// clerk has connected to, or at the one beside the upstream that makes a
-// sub-call. classify -> join the request -> body -> gate -> forward.
+// The filter chain of a request at its entry daemon: the one that a member or a
+// clerk is connected to, or, for a sub-call, the one beside the upstream that
+// makes it. Order of the filters: classify, attach to the request, buffer the
+// body, entry gate, forward.
 #ifndef NUTMEGUSHER_NODE_ENTRY_CHAIN_HPP
 #define NUTMEGUSHER_NODE_ENTRY_CHAIN_HPP
 
@@ -20,8 +21,8 @@
     own_upstream // a sub-call
 };
 
-// Serves one request. It ends in a whole answer, a refusal, or a connection
-// that is closed without a clean end.
+// Serves one request. It ends with a complete answer, a refusal, or a
+// connection that is closed without a clean end.
 asio::awaitable<void>
 serve_request(worker& owner, caller_exchange& exchange, request_origin origin);
 
--- a/nutmegusher/node/filter_chain.hpp
+++ b/nutmegusher/node/filter_chain.hpp
@@ -1,4 +1,4 @@
-// The chain that a call passes: each filter sees the call, and decides whether
+// A chain of filters for calls. Each filter sees the call and decides whether
 // and when the rest of the chain runs.
 //
 //     struct count_calls
@@ -13,8 +13,8 @@
 //
 //     co_await run_filters(call, count_calls(), last_filter());
 //
-// The last filter's `next` does nothing. A filter that ends the call answers
-// it and doesn't run `next`.
+// The last filter's `next` does nothing. A filter that ends the call answers it
+// and doesn't run `next`.
 #ifndef NUTMEGUSHER_NODE_FILTER_CHAIN_HPP
 #define NUTMEGUSHER_NODE_FILTER_CHAIN_HPP
 
--- a/nutmegusher/node/forward_filter.cpp
+++ b/nutmegusher/node/forward_filter.cpp
@@ -12,20 +12,21 @@
 namespace
 {
 
-// A first call waits this long for the upstreams of its service to become
-// known; a sync with a control host takes a round trip.
+// How long the first call to a service waits until the service's upstreams are
+// known. A sync with a control host takes one round trip.
 constexpr duration first_routes_timeout = std::chrono::seconds(1);
 constexpr duration first_routes_poll_interval = std::chrono::milliseconds(2);
-// A service without any upstream: one may announce itself at any moment, and
-// takes about a second to be known everywhere.
+// Retry after a refusal because the service has no upstream. One may announce
+// itself at any moment, and is known to all daemons about a second later.
 constexpr duration retry_without_upstream_after = std::chrono::seconds(1);
-// The fence's answer decides between "not run" and "unknown"; a caller that
-// was given up on isn't held back for longer than a commit needs.
+// The claim log's reply to the fence decides between "not run" and "unknown".
+// The caller's refusal isn't delayed for longer than a commit needs.
 constexpr duration fence_timeout = std::chrono::milliseconds(250);
-// The baseline of measurements: so many tries at each hop, whatever failed.
+// The benchmarks' baseline: tries per hop, regardless of the kind of failure.
 constexpr std::uint32_t max_naive_tries = 3;
 
-// The tries of one call, until one brings an answer or none can.
+// Tries upstreams one after the other until one answers or no further try is
+// allowed.
 class try_sequence
 {
 public:
@@ -84,7 +85,7 @@
         }
     }
 
-    // True: the call has its final answer.
+    // Returns true if the caller has been sent a final answer.
     asio::awaitable<bool> try_upstream(route to)
     {
         tried_.push_back(to.handle);
@@ -115,8 +116,9 @@
         co_return !co_await prepare_retry(failed);
     }
 
-    // Asks the claim log what became of the attempt. True: its first answer
-    // was passed on.
+    // Fences the attempt in the claim log, which tells whether it ran.
+    // Returns true if the attempt had completed and its stored answer was
+    // sent to the caller.
     asio::awaitable<bool>
     settle_by_fence(const messages::attempt& attempt, try_failed& failed)
     {
@@ -170,7 +172,8 @@
         }
     }
 
-    // False: the call was given up on and answered.
+    // Decides on a retry and waits for its backoff. Returns false if there
+    // is no retry; the caller has then been answered.
     asio::awaitable<bool> prepare_retry(const try_failed& failed)
     {
         const auto decided = decide(failed);
@@ -226,7 +229,8 @@
         if (reported.retry_after <= duration::zero() &&
             status_of(reported.reason) >= 500)
         {
-            // A fault without a known end: about the time that a call takes.
+            // No retry time is known: use about the duration of a
+            // call.
             reported.retry_after = jittered(
                 std::max(min_retry_after, call_.work_class->target / 2),
                 call_.owner.random);
@@ -250,8 +254,8 @@
     entry_call& call_;
     std::vector<upstream_handle> tried_;
     std::optional<refusal> last_refusal_;
-    // One of the tries wasn't proved not to have run: only a repeatable call
-    // is tried again after that, and its caller isn't told "not run".
+    // At least one try may have run. After that only a repeatable call is
+    // retried, and the caller is never told "not run".
     bool may_have_run_ = false;
 };
 
--- a/nutmegusher/node/forward_filter.hpp
+++ b/nutmegusher/node/forward_filter.hpp
@@ -1,5 +1,5 @@
-// The end of the entry's chain: sends the call to an upstream's daemon, and
-// tries again elsewhere where that can help.
+// The last filter of the entry chain: forwards the call to an upstream's
+// daemon, and retries at another one where that can help.
 #ifndef NUTMEGUSHER_NODE_FORWARD_FILTER_HPP
 #define NUTMEGUSHER_NODE_FORWARD_FILTER_HPP
 
--- a/nutmegusher/node/forward_try.cpp
+++ b/nutmegusher/node/forward_try.cpp
@@ -10,8 +10,8 @@
 {
 
 constexpr std::size_t chunk_bytes = 16384;
-// Far above a round trip between regions; a host that takes longer to accept
-// is slow or gone, and another one can be tried in the time that is left.
+// Far above a round trip between regions. A host that takes longer to accept is
+// slow or down, and the time left allows a try at another host.
 constexpr duration connect_timeout = std::chrono::milliseconds(250);
 
 bool is_internal_or_hop_by_hop(std::string_view name)
@@ -23,8 +23,8 @@
            name == "proxy-connection";
 }
 
-// What goes back to the caller: the upstream's fields, and of ours the
-// outcome.
+// The fields sent to the caller: all but those for daemons only and the content
+// length, which is passed separately.
 wire::headers fields_for_caller(const wire::headers& from)
 {
     wire::headers fields;
@@ -171,7 +171,8 @@
     stream_->expire_after(call_.time_left());
     if (call_.body_complete)
     {
-        // The watch outlives this try: the caller may leave between two.
+        // The callbacks may run after this try: the caller can
+        // disconnect between two tries.
         std::weak_ptr<bool> gone = call_.caller_gone;
         std::weak_ptr<forward_try*> weak = alive_;
         const auto end = [gone, weak]
@@ -200,8 +201,8 @@
     co_return co_await read_answer();
 }
 
-// Load pattern: one slow upstream of several. Without this each call that it
-// was given waits there until its deadline.
+// Pattern of load: one of several upstreams is slow. Without the timer, every
+// call routed to it waits there until its deadline.
 void forward_try::start_slow_try_timer()
 {
     const auto& shared = call_.owner.shared;
--- a/nutmegusher/node/forward_try.hpp
+++ b/nutmegusher/node/forward_try.hpp
@@ -1,4 +1,4 @@
-// One try of a call at one upstream's daemon.
+// One try of a call: one request sent to the daemon of one upstream.
 #ifndef NUTMEGUSHER_NODE_FORWARD_TRY_HPP
 #define NUTMEGUSHER_NODE_FORWARD_TRY_HPP
 
@@ -13,16 +13,16 @@
 namespace nutmegusher::node
 {
 
-// How a try ended that brought no answer to pass on.
+// Why a try ended without an answer for the caller.
 struct try_failed
 {
     try_failure how = try_failure::connection_lost;
     bool certainly_not_run = false;
-    // What the caller is told if it isn't tried again.
+    // The caller's answer if there is no retry.
     refusal caller_refusal;
 };
 
-// What a try brought: the answer's head and its first bytes, or its whole.
+// An upstream's answer: the complete answer, or its head and its first bytes.
 struct try_answer
 {
     wire::response_head head;
@@ -38,18 +38,20 @@
     forward_try(entry_call& call, route to);
     forward_try(const forward_try&) = delete;
     forward_try& operator=(const forward_try&) = delete;
-    // A try that wasn't reported counts as neutral.
+    // Reports a neutral result to the router unless a result was reported
+    // before.
     ~forward_try();
 
-    // Sends the call and reads its answer, up to the bytes that are kept
-    // whole.
+    // Sends the call and reads its answer, up to the limit for buffered
+    // bodies.
     asio::awaitable<try_result> run();
 
-    // Passes an answer that is longer than that on, as it comes. False: it
-    // broke, and the caller's connection must not end cleanly.
+    // Sends the answer to the caller and streams the part that isn't
+    // buffered. Returns false if the answer broke off; the caller's
+    // connection must then not end cleanly.
     asio::awaitable<bool> forward_answer(try_answer answer);
 
-    // Names this try in the claim log.
+    // The identity of this try in the claim log.
     [[nodiscard]] const messages::attempt& attempt() const
     {
         return attempt_;
@@ -73,11 +75,12 @@
     time_point started_;
     std::unique_ptr<wire::client_stream> stream_;
     std::optional<outstanding_tokens> outstanding_;
-    // Runs while no answer has begun.
+    // Pending until the answer begins.
     std::unique_ptr<asio::steady_timer> slow_try_timer_;
-    // A timer's handler may already be queued when the try ends.
+    // A timer's handler may already be queued when this object is
+    // destroyed; it checks this pointer first.
     std::shared_ptr<forward_try*> alive_ = std::make_shared<forward_try*>(this);
-    // Given up in favour of a faster upstream.
+    // The try was cancelled to use a faster upstream.
     bool switched_ = false;
     bool reported_ = false;
 };
--- a/nutmegusher/node/path_test.cpp
+++ b/nutmegusher/node/path_test.cpp
@@ -1,4 +1,5 @@
-// The path from a caller to an upstream and back, over real sockets.
+// End-to-end tests of calls over real sockets, from the caller through two
+// daemons to an upstream and back.
 #include "nutmegusher/node/test_deployment.hpp"
 
 #include <boost/asio/write.hpp>
@@ -16,7 +17,7 @@
 namespace
 {
 
-// Reads a request's body to its end.
+// Reads the complete body of a request.
 asio::awaitable<std::string> body_of(caller_exchange& exchange)
 {
     std::string text;
@@ -39,7 +40,8 @@
     co_await exchange.answer(std::move(head), body);
 }
 
-// A caller's daemon, an upstream's daemon and a claim log.
+// Fixture: the daemon where requests enter, the daemon beside the upstream, and
+// a claim log.
 class path : public ::testing::Test
 {
 protected:
@@ -320,8 +322,8 @@
         << answer.field("nutmeg-tries") << " tries";
 }
 
-// Asks, and closes the connection a little after the upstream has run the
-// request once more.
+// Sends a request, waits until the upstream has run it, and closes the
+// connection 50 ms later.
 void ask_and_hang_up(const endpoint& at, const std::atomic<int>& runs)
 {
     asio::io_context context;
@@ -338,8 +340,9 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
 }
 
-// The first try has ended, and the second one waits for a host that accepts
-// and says nothing, when the caller leaves.
+// Guards against use of a destroyed try: the caller disconnects after the first
+// try has failed, while the second one waits for a host that accepts the
+// connection and never answers.
 TEST_F(path, a_caller_that_leaves_between_tries_is_survived)
 {
     asio::io_context context;
--- a/nutmegusher/node/route_controller.cpp
+++ b/nutmegusher/node/route_controller.cpp
@@ -21,14 +21,14 @@
     router route;
     std::unordered_map<host_id, endpoint> addresses;
     bool is_known = false;
-    // For the naive baseline.
+    // Index of the next upstream in `round_robin`.
     std::size_t next = 0;
 
     [[nodiscard]] std::optional<upstream_handle>
     round_robin(std::span<const upstream_handle> tried);
 };
 
-// The baseline of measurements: each in its turn, whatever is known of it.
+// The benchmarks' baseline: plain round robin that ignores all observations.
 std::optional<upstream_handle> route_controller::service_routes::round_robin(
     std::span<const upstream_handle> tried)
 {
--- a/nutmegusher/node/route_controller.hpp
+++ b/nutmegusher/node/route_controller.hpp
@@ -1,5 +1,5 @@
 // The upstreams of the services that this daemon calls, and what it has
-// observed of them: one `router` a service, each under a lock of its own.
+// observed of them: one `router` per service, each with its own lock.
 #ifndef NUTMEGUSHER_NODE_ROUTE_CONTROLLER_HPP
 #define NUTMEGUSHER_NODE_ROUTE_CONTROLLER_HPP
 
@@ -23,7 +23,7 @@
 namespace nutmegusher::node
 {
 
-// Where one try goes.
+// The upstream chosen for one try.
 struct route
 {
     upstream_handle handle;
@@ -31,14 +31,14 @@
     endpoint address;
 };
 
-// How a try ended, for the observations.
+// How a try ended, as reported to the router.
 enum class try_end : std::uint8_t
 {
     answer,
     failure,
     silence,
     leaving,
-    // Another upstream is at its address.
+    // Another upstream now uses the address.
     address_reused,
     neutral
 };
@@ -46,7 +46,7 @@
 class route_controller
 {
 public:
-    // `options`: of the router of each service.
+    // `options` are passed to each service's router.
     route_controller(
         const host_settings& local_host,
         bool naive,
@@ -55,21 +55,22 @@
     route_controller& operator=(const route_controller&) = delete;
     ~route_controller();
 
-    // All upstreams of the service that this daemon is to use.
+    // Replaces the upstreams of the service that this daemon uses.
     void update(
         const service_name& service,
         std::span<const messages::upstream_record> records);
 
-    // Notes that the service is called here. True at the first time: its
-    // upstreams must be asked for.
+    // Adds the service to those that this daemon requests upstreams for.
+    // Returns true the first time: a sync is needed to get them.
     bool request_routes(const service_name& service);
 
     [[nodiscard]] std::vector<service_name> requested_services() const;
 
-    // Whether upstreams of the service were ever told.
+    // Whether a sync has reported the service's upstreams.
     [[nodiscard]] bool is_known(const service_name& service) const;
 
-    // Chooses and counts the try as started; `end` must follow.
+    // Chooses an upstream and records the start of a try there; `end` must
+    // follow. Empty if no upstream can be chosen.
     [[nodiscard]] std::optional<route> start(
         const service_name& service,
         const call_info& call,
@@ -83,32 +84,34 @@
         try_end how,
         duration elapsed);
 
-    // The upstream's own word on its load that came with an answer.
+    // Records the load report that came with an upstream's answer.
     void on_load(
         const service_name& service,
         upstream_handle upstream,
         const upstream_load& load);
 
-    // The levels that came with an answer. Gives what lies ahead of calls of
-    // its class: the service as a whole, and what is below it.
+    // Records the admission levels that came with an answer. Returns the
+    // level of the call path ahead of calls of that class: the service as a
+    // whole, and the services it calls.
     admission_level on_levels(
         const service_name& service,
         upstream_handle upstream,
         const answer_levels& levels,
         bool bulk);
 
-    // After this long without an answer another upstream may be worth a try;
-    // nothing where none is known to be faster.
+    // How long to wait for an answer before another upstream may be worth a
+    // try; empty if no upstream is known to be faster.
     [[nodiscard]] std::optional<duration> try_timeout(
         const service_name& service, upstream_handle upstream, bool bulk) const;
 
-    // Whether it is, now.
+    // Whether another upstream is worth a try now, after `try_timeout` has
+    // passed without an answer.
     [[nodiscard]] bool should_try_elsewhere(
         const service_name& service,
         const call_info& call,
         std::span<const upstream_handle> tried) const;
 
-    // Whether another upstream would take the call now.
+    // Whether another upstream would accept the call now.
     [[nodiscard]] bool has_alternative(
         const service_name& service,
         const call_info& call,
