--- a/nutmegusher/node/outcome_api.cpp
+++ b/nutmegusher/node/outcome_api.cpp
@@ -45,7 +45,7 @@
     return out;
 }
 
-// "a=1&b=2" behind '?'.
+// Parses the query "a=1&b=2" that follows '?' in `path`.
 std::map<std::string, std::string> parse_query(std::string_view path)
 {
     std::map<std::string, std::string> values;
@@ -67,7 +67,8 @@
     return values;
 }
 
-// No record proves nothing: an attempt may still be on its way.
+// A missing record doesn't prove that the call didn't run: an attempt may still
+// be in flight.
 std::string_view state_text(messages::claim_verdict verdict)
 {
     switch (verdict)
@@ -92,7 +93,7 @@
         });
 }
 
-// Asks one control host after the other, until one has read the key's log.
+// Asks the control hosts one after the other until one has read the key's log.
 asio::awaitable<std::optional<messages::claim_result>>
 find_claim(worker& owner, const messages::claim_key& key)
 {
@@ -180,7 +181,8 @@
     return {};
 }
 
-// "status": the outcome; "never_ran": true frees the key. One of them.
+// Reads either "status", the HTTP status of the outcome, or "never_ran": true,
+// which frees the key. Exactly one must be present.
 leaf::result<void>
 read_resolution(const json::object& from, messages::claim_command& to)
 {
--- a/nutmegusher/node/own_upstream.hpp
+++ b/nutmegusher/node/own_upstream.hpp
@@ -1,4 +1,4 @@
-// The upstream on this host, as it announces itself.
+// The upstream on this host, in the state that it last announced.
 #ifndef NUTMEGUSHER_NODE_OWN_UPSTREAM_HPP
 #define NUTMEGUSHER_NODE_OWN_UPSTREAM_HPP
 
@@ -14,18 +14,18 @@
 namespace nutmegusher::node
 {
 
-// Announcements are repeated at least every two seconds; after the third one
-// that is missed the upstream counts as gone.
+// An upstream repeats its announcement at least every two seconds; after three
+// missed ones it counts as lost.
 inline constexpr duration announcement_timeout = std::chrono::seconds(6);
 
-// An announcement's body.
+// The body of an announcement.
 struct announcement
 {
     service_name service;
     endpoint address;
     messages::upstream_state state = messages::upstream_serving;
-    // Another one after each start of the upstream's process; 0: it doesn't
-    // tell.
+    // Changes with each start of the upstream's process; 0 if the upstream
+    // doesn't report it.
     std::uint64_t start = 0;
 };
 
@@ -33,17 +33,17 @@
 [[nodiscard]] leaf::result<announcement>
 parse_announcement(std::string_view text);
 
-// What changed by an event.
+// The change that an announcement or its expiry made.
 enum class upstream_change : std::uint8_t
 {
     none,
-    appeared, // serves now, and didn't before
+    appeared, // started to serve
     starting,
     leaving,
     lost
 };
 
-// Safe from every thread.
+// Thread-safe.
 class own_upstream
 {
 public:
@@ -52,26 +52,31 @@
 
     upstream_change announce(const announcement& announced, time_point now);
 
-    // Withdraws an upstream that has been silent for too long.
+    // Withdraws the upstream if its last announcement is older than
+    // `announcement_timeout`.
     upstream_change expire(time_point now);
 
-    // By which run of the daemon its records are ordered among those of its
-    // host.
+    // The incarnation of the daemon that orders this upstream's records
+    // among all records of its host.
     [[nodiscard]] std::uint64_t run() const;
 
-    // Another run of this host's daemon is known as the latest one, though it
-    // has ended: the host's clock was set back. From now on this run goes
-    // before it. Without this the daemon got no configuration until the lease
-    // of the earlier run ended, six seconds.
+    // Raises the incarnation above `known_run`. Called when the control
+    // hosts hold a higher incarnation of this host although that run has
+    // ended, which happens when the host's clock was set back. Without this
+    // the daemon would get no configuration until the lease of the earlier
+    // run expires after six seconds.
     void supersede_run(std::uint64_t known_run);
 
-    // The daemon itself stops: its upstream leaves, whatever it says.
+    // Called when the daemon stops: the upstream is leaving from now on,
+    // whatever it announces.
     void leave();
 
-    // Where calls go; nothing without a serving or leaving upstream.
+    // The upstream to send calls to, whatever its state; empty if none is
+    // announced.
     [[nodiscard]] std::optional<announcement> current() const;
 
-    // For the sync with a control host; nothing before the first announcement.
+    // The record sent to control hosts; empty before the first
+    // announcement.
     [[nodiscard]] std::optional<messages::upstream_record> record() const;
 
 private:
--- a/nutmegusher/node/peer_call.hpp
+++ b/nutmegusher/node/peer_call.hpp
@@ -1,4 +1,4 @@
-// One call as the daemon beside the upstream sees it.
+// The state of one call at the daemon beside the upstream.
 #ifndef NUTMEGUSHER_NODE_PEER_CALL_HPP
 #define NUTMEGUSHER_NODE_PEER_CALL_HPP
 
@@ -14,17 +14,19 @@
 namespace nutmegusher::node
 {
 
-// Set when nobody waits for the call any more, or nobody may. The callback that
-// is set at the time stops what the call waits for.
+// Cancels a call that nobody waits for any more, or that must end because the
+// process stops. `stop`, while set, interrupts what the call currently waits
+// for.
 struct cancellation
 {
     bool requested = false;
-    // The caller is still there and gets a final answer: the process ends.
+    // The caller is still connected and gets a final answer because the
+    // process stops.
     bool expects_answer = false;
     std::function<void()> stop;
 };
 
-// What the entry daemon sent along.
+// The metadata that the entry daemon sends with a call.
 struct peer_metadata
 {
     request_id request;
@@ -36,12 +38,12 @@
     bool repeatable = false;
     bool bulk = false;
     time_point deadline;
-    // The class's, as far as it is declared here.
+    // The class's target latency; zero if the class isn't declared here.
     duration target{};
     std::uint32_t tokens = 0;
 };
 
-// A whole answer, or where a long one comes from.
+// A complete answer, held in memory.
 struct buffered_answer
 {
     wire::response_head head;
@@ -63,16 +65,17 @@
     std::shared_ptr<cancellation> cancelled;
     time_point arrived;
     peer_metadata metadata;
-    // The request's body, or its first part.
+    // The request's body, or its first part if it is longer than the limit.
     std::string body;
     bool body_complete = false;
     std::optional<request_ledger::running_request> running;
-    // For the admission controller.
+    // The result reported to the admission controller.
     call_result result = call_result::never_started;
-    // Gives the admission slot back with `result`; what follows doesn't use
-    // the upstream. Calls after the first one do nothing.
+    // Releases the admission slot with `result`; what follows doesn't use
+    // the upstream. Only the first call has an effect.
     std::function<void()> release_slot = [] {};
-    // Calls that may not be repeated are answered by their claim.
+    // The upstream's answer or failure for a call that isn't repeatable;
+    // `claim_filter` answers the call.
     std::optional<buffered_answer> answer;
     std::optional<upstream_failure> failure;
     bool answered = false;
@@ -82,22 +85,25 @@
         return metadata.deadline - host_clock().now();
     }
 
-    // Adds what every answer to a peer carries: tokens and admission level.
+    // Adds the headers that every answer to a peer carries: the retry
+    // tokens left and the admission levels.
     void add_feedback(wire::response_head& head);
 
-    // Answers with a refusal; does nothing where an answer was begun.
+    // Answers with a refusal; does nothing if an answer was already
+    // started.
     asio::awaitable<void> refuse(refusal refused);
 
-    // Answers with a whole answer of the upstream.
+    // Sends a complete answer of the upstream.
     asio::awaitable<void> send(buffered_answer buffered);
 };
 
-// Reads the terms; the reason of a refusal where they are malformed.
+// Parses the metadata from the call's headers. Error: the reason of the refusal
+// if they are malformed.
 [[nodiscard]] outcome<peer_metadata, call_reason> parse_peer_metadata(
     const wire::request_head& head, const configuration_view& classes);
 
-// Reads the body until its end or until `max_bytes` bytes are kept. False: the
-// peer has gone.
+// Reads the body up to its end or until it exceeds `max_bytes`. Returns false
+// if the peer has disconnected.
 asio::awaitable<bool> read_body(peer_call& call, std::size_t max_bytes);
 
 } // namespace nutmegusher::node
--- a/nutmegusher/node/upstream_chain.cpp
+++ b/nutmegusher/node/upstream_chain.cpp
@@ -15,7 +15,8 @@
 namespace
 {
 
-// Records the request, so that its sub-calls find rank, deadline and tokens.
+// Records the request in the ledger, where its sub-calls find its rank,
+// deadline and retry tokens.
 struct ledger_filter
 {
     template <class Next>
@@ -34,7 +35,8 @@
     }
 };
 
-// Short bodies are read before admission, so that a slow sender holds no slot.
+// Reads short bodies before admission, so that a slow sender doesn't hold a
+// slot.
 struct body_filter
 {
     template <class Next>
@@ -74,7 +76,8 @@
     return call_reason::leaving;
 }
 
-// Lets the call in, lets it wait, or turns it away.
+// Asks the admission controller for a slot; the call is admitted, queued or
+// refused.
 class admission_filter
 {
 public:
@@ -113,10 +116,11 @@
     }
 
 private:
-    // Gives the slot back with the call's result when the call ends, and at the
-    // deadline of one whose answer is waited for longer (it may not be
-    // repeated). Load pattern: connections that have gone silent. Without it
-    // each such call would hold its slot for a minute.
+    // Releases the slot with the call's result when the call ends, but no
+    // later than at its deadline: a call that isn't repeatable may wait
+    // longer than that for its answer. Pattern of load: connections that
+    // have gone silent. Without the deadline each such call would hold its
+    // slot for a minute.
     class slot
     {
     public:
--- a/nutmegusher/node/upstream_client.cpp
+++ b/nutmegusher/node/upstream_client.cpp
@@ -29,28 +29,28 @@
 
 constexpr unsigned http_11 = 11;
 
-// The upstream stands on the same host: a connection that takes longer isn't
+// The upstream runs on the same host; a connection that takes longer won't be
 // accepted at all.
 constexpr duration connect_timeout = std::chrono::milliseconds(500);
-// Servers close idle connections after seconds; one used within this time is
-// still open unless the server has stopped.
+// Servers close idle connections after some seconds. A connection used within
+// `max_fresh_idle` is still open unless the server has stopped.
 constexpr duration max_fresh_idle = std::chrono::milliseconds(500);
 constexpr duration default_idle_timeout = std::chrono::seconds(4);
-// Kept back from the time that an upstream says it keeps a connection: the
-// request must arrive before the upstream closes.
+// Subtracted from the keep-alive timeout that an upstream announces, so that a
+// request arrives before the upstream closes the connection.
 constexpr duration idle_margin = std::chrono::seconds(1);
-// Answers to earlier requests that may stand before the awaited one; an
-// upstream that sends more is out of step for good.
+// Answers to earlier requests that are skipped before the awaited one. After
+// more than that the connection is taken to be out of sync for good.
 constexpr int max_skipped_answers = 2;
 constexpr std::size_t max_idle_connections = 256;
-// Whether an upstream has ended shows within so many connections and so long
-// after each.
+// `is_listening` opens at most this many connections and waits this long after
+// each; a stopped upstream shows within that.
 constexpr int max_probes = 3;
 constexpr duration probe_delay = std::chrono::milliseconds(5);
 constexpr std::uint32_t max_answer_header_bytes = 65536;
-// Room for a head and most of the users' answers (1.5 to 5 KB): without it
-// Beast reads 512 bytes at a time, and an answer of 1.5 KB took five reads with
-// a poll of the sockets after each, 19 system calls in all.
+// The initial buffer holds a head and most of the users' answers (1.5 to 5 KB).
+// Without it Beast reads 512 bytes at a time: an answer of 1.5 KB took five
+// reads with a poll of the sockets after each, 19 system calls in all.
 constexpr std::size_t first_read_bytes = 8192;
 
 upstream_failure to_failure(boost::system::error_code code)
@@ -82,7 +82,8 @@
            name == "expect" || name == "te" || name == "upgrade";
 }
 
-// An idle connection has nothing to read; anything else is its end.
+// Whether an idle connection is still open. It has nothing to read; data or an
+// end of file mean that it can't be used.
 bool still_open(tcp::socket& socket)
 {
     char probe = 0;
@@ -99,7 +100,8 @@
     duration idle_timeout{default_idle_timeout};
 };
 
-// "timeout=10, max=5" in seconds; what isn't told is `default_idle_timeout`.
+// Parses "timeout=10, max=5" (seconds) and subtracts `idle_margin`; returns
+// `default_idle_timeout` if there is no timeout.
 duration parse_keep_alive(std::string_view keep_alive)
 {
     constexpr std::string_view key = "timeout=";
@@ -187,12 +189,12 @@
     http::request<http::buffer_body> request;
     std::optional<http::request_serializer<http::buffer_body>> serializer;
     std::optional<http::response_parser<http::buffer_body>> parser;
-    // The body that is sent while the answer is read.
+    // Holds the body while it is sent in the background.
     std::string body;
     std::string echoed_field;
     std::string echoed_value;
     duration idle_timeout{default_idle_timeout};
-    // Nothing of another request stood before the answer.
+    // No answer to an earlier request came before this one.
     bool in_sync = true;
     bool request_done = false;
     bool cancelled = false;
@@ -259,9 +261,9 @@
 
 using call_state = std::shared_ptr<internal::upstream_call_state>;
 
-// Sends head and body behind the caller's back. A failure shows when the
-// answer is read: one that has begun to come counts, whatever became of the
-// body.
+// Sends head and body in the background. A failed write shows when the answer
+// is read: an answer that has begun counts, even if the body wasn't sent
+// completely.
 void start_write(const call_state& call)
 {
     auto& body = call->request.body();
@@ -284,7 +286,7 @@
            found->value() != call.echoed_value;
 }
 
-// Reads the rest of an answer that nobody waits for.
+// Discards the rest of an answer that is being skipped.
 asio::awaitable<boost::system::error_code>
 skip_body(internal::upstream_call_state& call)
 {
@@ -304,8 +306,8 @@
     co_return boost::system::error_code();
 }
 
-// Gives the parser what has been read with the head, without another turn of
-// the scheduler: that is all of most answers.
+// Parses what was read along with the head, without another round through the
+// scheduler; most answers are complete by then.
 boost::system::error_code parse_buffered(internal::upstream_call_state& call)
 {
     boost::system::error_code failed;
@@ -343,7 +345,7 @@
 
 upstream_call::~upstream_call()
 {
-    // The write may go on; its end must find a closed connection.
+    // A write may still be pending; closing the connection ends it.
     if (state_->stream)
     {
         state_->stream->close();
@@ -483,8 +485,9 @@
         {
             co_return false;
         }
-        // A process that ends closes its listener and its connections one after
-        // the other: one that was taken meanwhile is closed at once.
+        // A process that exits closes its listener and its connections
+        // one after the other, so a connection accepted in between is
+        // closed at once.
         asio::steady_timer pause(state_->context);
         pause.expires_after(probe_delay);
         co_await pause.async_wait(as_tuple_awaitable);
--- a/nutmegusher/node/upstream_client.hpp
+++ b/nutmegusher/node/upstream_client.hpp
@@ -1,5 +1,6 @@
-// HTTP/1.1 towards the upstream on this host: a pool of connections, one call
-// at a time on each. Belongs to one io_context and is used from its thread.
+// An HTTP/1.1 client for the upstream on this host: a pool of connections with
+// one call at a time on each. Belongs to one io_context; use it from that
+// context's thread only.
 #ifndef NUTMEGUSHER_NODE_UPSTREAM_CLIENT_HPP
 #define NUTMEGUSHER_NODE_UPSTREAM_CLIENT_HPP
 
@@ -24,7 +25,7 @@
 
 enum class upstream_failure : std::uint8_t
 {
-    not_connected, // nothing was sent: it certainly didn't run
+    not_connected, // nothing was sent: the call certainly didn't run
     broken,        // the connection ended before the whole answer
     timed_out,
     cancelled,
@@ -37,8 +38,8 @@
 struct upstream_pool_state;
 } // namespace internal
 
-// One call on one connection. Its destructor closes the connection unless the
-// answer was read to its clean end.
+// One call on one connection. The destructor closes the connection unless the
+// answer was read to its end.
 class upstream_call
 {
 public:
@@ -48,44 +49,47 @@
     upstream_call& operator=(const upstream_call&) = delete;
     ~upstream_call();
 
-    // More of a request body that was announced as streamed; `end` after the
-    // last bytes.
+    // Sends more of a streamed request body. Pass `end` with the last
+    // bytes.
     asio::awaitable<outcome<void, upstream_failure>>
     write_some(std::span<const std::byte> bytes, bool end);
 
     asio::awaitable<outcome<wire::response_head, upstream_failure>> read_head();
 
-    // The answer's length, where the upstream told it. Requires: `read_head`
-    // succeeded.
+    // The answer's content length, if the upstream sent it. Requires:
+    // `read_head` succeeded.
     [[nodiscard]] std::optional<std::uint64_t> content_length() const;
 
-    // 0 at the clean end of the answer.
+    // Reads a part of the answer's body and returns its size; 0 at the
+    // answer's end.
     asio::awaitable<outcome<std::size_t, upstream_failure>>
     read_some(std::span<std::byte> into);
 
-    // Closes the connection; what is suspended fails with `cancelled`. The
-    // upstream understands a closed connection as a cancellation.
+    // Closes the connection; suspended operations fail with `cancelled`.
+    // Upstreams treat a closed connection as a cancellation.
     void cancel();
 
 private:
     std::shared_ptr<internal::upstream_call_state> state_;
 };
 
-// How a call is sent.
+// A call to send, and how to send it.
 struct upstream_request
 {
     wire::request_head head;
     // The whole body, or its first part when `streamed`.
     std::string_view body;
     bool streamed = false;
-    // Set for calls that may not be repeated: only a connection used a moment
-    // ago, or a new one, so that a stale one can't make the outcome unknown.
+    // Set for calls that aren't repeatable: uses only a new connection or
+    // one that was in use a moment ago, because a stale connection could
+    // leave the outcome unknown.
     bool needs_fresh_connection = false;
-    // The request's field that the upstream repeats in its answer, lower case;
-    // empty: it repeats none. An answer with another value belongs to an
-    // earlier request and is skipped; one without the field is malformed.
+    // Name, in lower case, of the request's field that the upstream echoes
+    // in its answer; empty if it echoes none. An answer with another value
+    // belongs to an earlier request and is skipped; an answer without the
+    // field is malformed.
     std::string_view echoed_field;
-    // For the whole call, from now.
+    // The time limit of the whole call, from now.
     duration time_left{};
 };
 
@@ -97,15 +101,16 @@
     upstream_pool& operator=(const upstream_pool&) = delete;
     ~upstream_pool();
 
-    // Connects and starts to send head and body (or sends the first part of a
-    // streamed one). An unstreamed body is sent while the answer is read: an
-    // upstream may answer before it has read the body. `not_connected` is the
-    // only failure after which the call certainly didn't run.
+    // Connects and starts to send head and body (for a streamed body: sends
+    // its first part). An unstreamed body is sent while the answer is read,
+    // as an upstream may answer before it has read the body.
+    // `not_connected` is the only failure after which the call certainly
+    // didn't run.
     asio::awaitable<outcome<std::unique_ptr<upstream_call>, upstream_failure>>
     send(asio::ip::tcp::endpoint address, const upstream_request& request);
 
-    // Whether a process takes connections there: one is open that is kept for
-    // the next call, or a new one is taken. Sends nothing.
+    // Whether a process accepts connections at the address: an idle pooled
+    // connection is still open, or a new one is accepted. Sends nothing.
     asio::awaitable<bool> is_listening(asio::ip::tcp::endpoint address);
 
     [[nodiscard]] std::size_t idle_connections() const;
--- a/nutmegusher/node/upstream_filter.cpp
+++ b/nutmegusher/node/upstream_filter.cpp
@@ -15,12 +15,12 @@
 
 constexpr std::size_t chunk_bytes = 16384;
 constexpr unsigned status_unavailable = 503;
-// How long the answer of a call that may not be repeated is waited for after
-// its caller has given up.
+// How long the answer of a call that isn't repeatable is awaited beyond the
+// call's deadline.
 constexpr duration late_answer_timeout = std::chrono::seconds(60);
-// The largest answer of a call that may not be repeated.
+// The largest answer of a call that isn't repeatable.
 constexpr std::size_t max_claimed_answer_bytes = 1048576;
-// An upstream that can't be connected to has left or is starting again.
+// Retry after a refused connection: the upstream has left or is restarting.
 constexpr duration retry_elsewhere_after = std::chrono::milliseconds(50);
 
 upstream_request to_request(const peer_call& call)
@@ -95,7 +95,7 @@
     return {call_reason::upstream_failed, call_outcome::unknown};
 }
 
-// One call to the upstream, from its first byte to its last.
+// One call to the upstream: sends the request and handles the answer.
 class upstream_exchange
 {
 public:
@@ -130,7 +130,7 @@
     {
         if (!call_.metadata.repeatable)
         {
-            return; // it runs on, so that its outcome becomes known
+            return; // it continues, so that its outcome becomes known
         }
         auto* const upstream = upstream_.get();
         call_.cancelled->stop = [upstream]
@@ -158,7 +158,8 @@
         call_.result = result_of(head->status);
         if (call_.result == call_result::shed_by_upstream && sub_call_refused())
         {
-            call_.result = call_result::failed; // it isn't full itself
+            call_.result =
+                call_result::failed; // the upstream itself isn't overloaded
         }
         if (!call_.metadata.repeatable)
         {
@@ -174,7 +175,7 @@
         }
     }
 
-    // The rest of a long request body.
+    // Streams the rest of a long request body to the upstream.
     asio::awaitable<bool> stream_request()
     {
         std::array<std::byte, chunk_bytes> chunk;
@@ -221,7 +222,7 @@
         co_await discard_rest();
     }
 
-    // Reads what is left, so that the connection can be used again.
+    // Reads the rest of the answer, so that the connection can be reused.
     asio::awaitable<void> discard_rest()
     {
         std::array<std::byte, chunk_bytes> chunk;
@@ -296,7 +297,8 @@
         upstream_->cancel();
     }
 
-    // The answer has begun: only a broken stream tells that it isn't whole.
+    // The answer has begun, so only a reset stream can tell the peer that
+    // it is incomplete.
     void abort_answer(upstream_failure failure)
     {
         call_.result = result_of(failure);
--- a/nutmegusher/node/upstream_filter.hpp
+++ b/nutmegusher/node/upstream_filter.hpp
@@ -1,4 +1,4 @@
-// The end of the chain: the upstream itself.
+// The last filter of the upstream chain: calls the upstream.
 #ifndef NUTMEGUSHER_NODE_UPSTREAM_FILTER_HPP
 #define NUTMEGUSHER_NODE_UPSTREAM_FILTER_HPP
 
@@ -7,10 +7,10 @@
 namespace nutmegusher::node
 {
 
-// Calls the upstream. A repeatable call's answer streams to the peer as it
-// comes; the answer of one that may not be repeated is collected whole and
-// left to its claim, also after the caller has given up, so that a later
-// question by key finds the outcome.
+// Calls the upstream. The answer of a repeatable call is streamed to the peer.
+// The answer of a call that isn't repeatable is buffered and left to
+// `claim_filter`, even after the caller has given up, so that a later look-up
+// by key finds the outcome.
 class upstream_filter
 {
 public:
