--- a/nutmegusher/node/call.cpp
+++ b/nutmegusher/node/call.cpp
@@ -185,9 +185,9 @@
 
 std::string to_milliseconds(duration time)
 {
-    const auto whole =
+    const auto count =
         std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
-    return std::to_string(std::max<std::int64_t>(whole, 0));
+    return std::to_string(std::max<std::int64_t>(count, 0));
 }
 
 std::optional<std::uint32_t> parse_count(std::string_view text)
--- a/nutmegusher/node/entry_chain.cpp
+++ b/nutmegusher/node/entry_chain.cpp
@@ -116,10 +116,10 @@
 
     ~sub_call_scope()
     {
-        const auto why = call_.refused_reason;
-        const bool for_load = why == call_reason::overload ||
-                              why == call_reason::overload_deeper ||
-                              why == call_reason::fair_share;
+        const auto reason = call_.refused_reason;
+        const bool for_load = reason == call_reason::overload ||
+                              reason == call_reason::overload_deeper ||
+                              reason == call_reason::fair_share;
         gate().sub_call_ended(request(), for_load);
     }
 
@@ -164,15 +164,15 @@
             co_return;
         }
         auto& pressure = call.owner.shared.pressure;
-        const auto of = call.work_class->hash;
-        const auto key_hash =
-            call.key.empty()
-                ? 0
-                : stable_hash(call.customer.str()) ^ stable_hash(call.key, of);
-        const auto given = pressure.begin_request(of, key_hash);
+        const auto class_hash = call.work_class->hash;
+        const auto key_hash = call.key.empty()
+                                  ? 0
+                                  : stable_hash(call.customer.str()) ^
+                                        stable_hash(call.key, class_hash);
+        const auto given = pressure.begin_request(class_hash, key_hash);
         call.own_tokens = retry_tokens::mint(given);
         co_await next();
-        pressure.end_request(of, given, call.own_tokens.count());
+        pressure.end_request(class_hash, given, call.own_tokens.count());
     }
 
     static void join_request(entry_call& call)
--- a/nutmegusher/node/forward_try.cpp
+++ b/nutmegusher/node/forward_try.cpp
@@ -173,11 +173,11 @@
     {
         // The callbacks may run after this try: the caller can
         // disconnect between two tries.
-        std::weak_ptr<bool> gone = call_.caller_gone;
+        std::weak_ptr<bool> caller_gone = call_.caller_gone;
         std::weak_ptr<forward_try*> weak = alive_;
-        const auto end = [gone, weak]
+        const auto end = [caller_gone, weak]
         {
-            if (const auto flag = gone.lock())
+            if (const auto flag = caller_gone.lock())
             {
                 *flag = true;
             }
@@ -206,11 +206,11 @@
 void forward_try::start_slow_try_timer()
 {
     const auto& shared = call_.owner.shared;
-    const auto& of = *call_.work_class;
-    const auto limit =
-        shared.routes.try_timeout(of.service, to_.handle, of.bulk);
-    const bool can_switch =
-        of.repeatable && call_.body_complete && call_.tokens().count() > 0;
+    const auto& work_class = *call_.work_class;
+    const auto limit = shared.routes.try_timeout(
+        work_class.service, to_.handle, work_class.bulk);
+    const bool can_switch = work_class.repeatable && call_.body_complete &&
+                            call_.tokens().count() > 0;
     if (!limit || !can_switch || *limit >= call_.time_left())
     {
         return;
@@ -243,8 +243,8 @@
 
 asio::awaitable<outcome<void, wire::stream_failure>> forward_try::send_body()
 {
-    const auto kept = std::as_bytes(std::span(call_.body));
-    auto sent = co_await stream_->write(kept, call_.body_complete);
+    const auto buffered = std::as_bytes(std::span(call_.body));
+    auto sent = co_await stream_->write(buffered, call_.body_complete);
     if (call_.body_complete || !sent)
     {
         co_return sent;
@@ -356,11 +356,12 @@
 
 void forward_try::apply_feedback(const wire::response_head& head)
 {
-    const auto back = wire::find_header(head.fields, field::retry_tokens);
-    if (back && outstanding_)
+    const auto returned_tokens =
+        wire::find_header(head.fields, field::retry_tokens);
+    if (returned_tokens && outstanding_)
     {
         call_.tokens().put(
-            outstanding_->reclaim(parse_count(*back).value_or(0)));
+            outstanding_->reclaim(parse_count(*returned_tokens).value_or(0)));
     }
     const auto text = wire::find_header(head.fields, field::admission_level);
     if (!text)
@@ -373,16 +374,16 @@
         return;
     }
     auto& shared = call_.owner.shared;
-    const auto ahead = shared.routes.on_levels(
+    const auto path_level = shared.routes.on_levels(
         call_.work_class->service, to_.handle, *levels, call_.work_class->bulk);
     if (call_.sub_call)
     {
         const auto root = call_.sub_call->context().work_class.str();
-        shared.pressure.on_sub_call_level(stable_hash(root), ahead);
+        shared.pressure.on_sub_call_level(stable_hash(root), path_level);
     }
     else if (call_.origin == request_origin::caller)
     {
-        shared.pressure.on_level(call_.info(), ahead);
+        shared.pressure.on_level(call_.info(), path_level);
     }
 }
 
--- a/nutmegusher/node/outcome_api.cpp
+++ b/nutmegusher/node/outcome_api.cpp
@@ -31,16 +31,16 @@
     constexpr int base = 16;
     constexpr std::size_t digits = 2;
     std::string out;
-    for (std::size_t at = 0; at < text.size(); ++at)
+    for (std::size_t index = 0; index < text.size(); ++index)
     {
-        if (text[at] == '%' && at + digits < text.size())
+        if (text[index] == '%' && index + digits < text.size())
         {
-            const std::string hex(text.substr(at + 1, digits));
+            const std::string hex(text.substr(index + 1, digits));
             out += static_cast<char>(std::strtol(hex.c_str(), nullptr, base));
-            at += digits;
+            index += digits;
             continue;
         }
-        out += text[at];
+        out += text[index];
     }
     return out;
 }
--- a/nutmegusher/node/path_test.cpp
+++ b/nutmegusher/node/path_test.cpp
@@ -103,18 +103,18 @@
 TEST_F(path, malformed_requests_are_refused_with_a_reason)
 {
     serve_with(echo, "balances");
-    const auto at = entry_node.callers();
-    EXPECT_EQ(request(at, "GET", "/nothing").status, 404U);
+    const auto address = entry_node.callers();
+    EXPECT_EQ(request(address, "GET", "/nothing").status, 404U);
     const auto keyless = request(
-        at, "POST", "/disbursement/pay", {{"nutmeg-customer", "zakat"}});
+        address, "POST", "/disbursement/pay", {{"nutmeg-customer", "zakat"}});
     EXPECT_EQ(keyless.status, 400U);
     EXPECT_EQ(keyless.field("nutmeg-reason"), "missing-key");
     EXPECT_EQ(keyless.field("nutmeg-outcome"), "not-run");
-    const auto without_customer =
-        request(at, "POST", "/disbursement/pay", {{"idempotency-key", "k"}});
+    const auto without_customer = request(
+        address, "POST", "/disbursement/pay", {{"idempotency-key", "k"}});
     EXPECT_EQ(without_customer.field("nutmeg-reason"), "missing-customer");
-    const auto bad_timeout =
-        request(at, "GET", "/balances/all", {{"nutmeg-timeout-ms", "soon"}});
+    const auto bad_timeout = request(
+        address, "GET", "/balances/all", {{"nutmeg-timeout-ms", "soon"}});
     EXPECT_EQ(bad_timeout.field("nutmeg-reason"), "bad-header");
 }
 
@@ -324,11 +324,11 @@
 
 // Sends a request, waits until the upstream has run it, and closes the
 // connection 50 ms later.
-void ask_and_hang_up(const endpoint& at, const std::atomic<int>& runs)
+void ask_and_hang_up(const endpoint& address, const std::atomic<int>& runs)
 {
     asio::io_context context;
     asio::ip::tcp::socket socket(context);
-    socket.connect(at);
+    socket.connect(address);
     const int before = runs;
     const std::string text = "GET /balances/all HTTP/1.1\r\nhost: x\r\n\r\n";
     asio::write(socket, asio::buffer(text));
@@ -378,7 +378,7 @@
             std::launch::async,
             [this, caller]
             {
-                bool own = true;
+                bool all_own = true;
                 for (int i = 0; i < 50; ++i)
                 {
                     const std::string body(
@@ -390,9 +390,9 @@
                         "/balances/all",
                         {},
                         body);
-                    own = own && answer.whole && answer.body == body;
+                    all_own = all_own && answer.whole && answer.body == body;
                 }
-                return own;
+                return all_own;
             }));
     }
     for (auto& each : callers)
--- a/nutmegusher/node/peer_call.cpp
+++ b/nutmegusher/node/peer_call.cpp
@@ -31,16 +31,17 @@
     metadata.work_class = class_name(header_text(head, field::class_name));
     metadata.customer = customer_id(header_text(head, field::customer));
     metadata.key = header_text(head, field::key);
-    const auto left = parse_milliseconds(header_text(head, field::timeout));
+    const auto remaining =
+        parse_milliseconds(header_text(head, field::timeout));
     const auto rank = parse_count(header_text(head, field::rank));
     const auto tokens = parse_count(header_text(head, field::retry_tokens));
     const auto attempt = parse_attempt(header_text(head, field::attempt));
-    if (!left || !rank || !tokens || !attempt || metadata.request.empty() ||
-        *rank > max_rank)
+    if (!remaining || !rank || !tokens || !attempt ||
+        metadata.request.empty() || *rank > max_rank)
     {
         return call_reason::bad_header;
     }
-    metadata.deadline = host_clock().now() + *left;
+    metadata.deadline = host_clock().now() + *remaining;
     metadata.rank = static_cast<std::uint8_t>(*rank);
     metadata.tokens = *tokens;
     metadata.attempt = *attempt;
@@ -84,9 +85,9 @@
 
 void peer_call::add_feedback(wire::response_head& head)
 {
-    const auto left = running ? running->finish().send() : metadata.tokens;
+    const auto remaining = running ? running->finish().send() : metadata.tokens;
     running.reset();
-    add(head, field::retry_tokens, std::to_string(left));
+    add(head, field::retry_tokens, std::to_string(remaining));
     const answer_levels levels{
         owner.shared.admission.level(),
         owner.shared.pressure.deeper_for(
--- a/nutmegusher/node/route_controller.cpp
+++ b/nutmegusher/node/route_controller.cpp
@@ -181,7 +181,7 @@
     const service_name& service,
     upstream_handle upstream,
     bool bulk,
-    try_end how,
+    try_end result,
     duration elapsed)
 {
     const auto routes = find(service);
@@ -191,7 +191,7 @@
     }
     const std::scoped_lock lock(routes->mutex);
     const auto now = host_clock().now();
-    switch (how)
+    switch (result)
     {
     case try_end::answer:
         routes->route.on_answer(upstream, bulk, elapsed, now);
--- a/nutmegusher/node/route_controller.hpp
+++ b/nutmegusher/node/route_controller.hpp
@@ -81,7 +81,7 @@
     end(const service_name& service,
         upstream_handle upstream,
         bool bulk,
-        try_end how,
+        try_end result,
         duration elapsed);
 
     // Records the load report that came with an upstream's answer.
--- a/nutmegusher/node/upstream_chain.cpp
+++ b/nutmegusher/node/upstream_chain.cpp
@@ -106,10 +106,10 @@
         {
             co_return;
         }
-        slot held(call, info);
-        call.release_slot = [&held]
+        slot held_slot(call, info);
+        call.release_slot = [&held_slot]
         {
-            held.release_now();
+            held_slot.release_now();
         };
         co_await next();
         call.release_slot = [] {};
--- a/nutmegusher/node/upstream_filter.cpp
+++ b/nutmegusher/node/upstream_filter.cpp
@@ -106,14 +106,15 @@
 
     asio::awaitable<void> run()
     {
-        const auto at = call_.owner.shared.upstream.current();
-        if (!at)
+        const auto announced = call_.owner.shared.upstream.current();
+        if (!announced)
         {
             co_await fail(upstream_failure::not_connected);
             co_return;
         }
         const auto request = to_request(call_);
-        auto sent = co_await call_.owner.upstreams.send(at->address, request);
+        auto sent =
+            co_await call_.owner.upstreams.send(announced->address, request);
         if (!sent)
         {
             co_await fail(sent.error());
