--- a/nutmegusher/node/admission_gate.hpp
+++ b/nutmegusher/node/admission_gate.hpp
@@ -42,8 +42,8 @@
     // `call`.
     void finish(const call_info& call, call_result result);
 
-    // Report that the upstream starts a sub-call on behalf of `request`,
-    // and that the sub-call has ended. Ignored if `request` isn't running
+    // To be called when the upstream starts a sub-call on behalf of `request`,
+    // and when that sub-call has ended. Ignored if `request` isn't running
     // here.
     void sub_call_started(std::uint64_t request);
     void sub_call_ended(std::uint64_t request, bool refused_for_load);
--- a/nutmegusher/node/claim_filter.cpp
+++ b/nutmegusher/node/claim_filter.cpp
@@ -143,8 +143,8 @@
             co_return guard_.cancel(
                 wall_milliseconds(), outcome_reason::cancelled);
         }
-        // Waiting for the claim log isn't processing time of the
-        // upstream; like a sub-call it is excluded from it.
+        // Waiting for the claim log isn't processing time of the upstream; like
+        // a sub-call it is excluded from it.
         auto& gate = call_.owner.shared.admission;
         const auto request = stable_hash(call_.metadata.request.str());
         gate.sub_call_started(request);
@@ -173,8 +173,7 @@
     asio::awaitable<guard_step> start()
     {
         co_await run_();
-        // Frees the slot first: recording the outcome doesn't use the
-        // upstream.
+        // Frees the slot first: recording the outcome doesn't use the upstream.
         call_.release_slot();
         if (call_.answer && !refused_without_effect())
         {
--- a/nutmegusher/node/entry_call.hpp
+++ b/nutmegusher/node/entry_call.hpp
@@ -28,7 +28,8 @@
     caller_exchange& exchange;
     request_origin origin;
     time_point arrived;
-    // Owns the object that `work_class` points into.
+    // The configuration that `work_class` points into; kept alive by this
+    // pointer.
     std::shared_ptr<const configuration_view> classes;
     const class_entry* work_class = nullptr;
     request_id request;
@@ -43,8 +44,8 @@
     std::string body;
     bool body_complete = false;
     std::uint32_t tries = 0;
-    // Set when a further try is useless: the caller has closed its
-    // connection, or is being sent a final answer.
+    // Set when a further try is useless: the caller has closed its connection,
+    // or is being sent a final answer.
     std::shared_ptr<bool> caller_gone = std::make_shared<bool>(false);
     bool answered = false;
     // Set once the request was refused or has failed.
@@ -62,8 +63,7 @@
 
     [[nodiscard]] call_info info() const;
 
-    // Answers with a refusal; does nothing if an answer was already
-    // started.
+    // Answers with a refusal; does nothing if an answer was already started.
     asio::awaitable<void> refuse(refusal refused);
 
     // Records in the metrics that the caller got a complete answer.
--- a/nutmegusher/node/entry_chain.cpp
+++ b/nutmegusher/node/entry_chain.cpp
@@ -203,8 +203,9 @@
     static constexpr std::uint32_t sub_call_tokens = tokens_per_request - 1;
 };
 
-// Buffers the body, so that the call can be retried; a body beyond the limit is
-// streamed, and the call isn't retried.
+// Buffers the body, so that the call can be retried. A body beyond the limit is
+// streamed and the call isn't retried; if the call isn't repeatable, it is
+// refused.
 struct buffer_body_filter
 {
     template <class Next>
--- a/nutmegusher/node/forward_filter.cpp
+++ b/nutmegusher/node/forward_filter.cpp
@@ -116,9 +116,9 @@
         co_return !co_await prepare_retry(failed);
     }
 
-    // Fences the attempt in the claim log, which tells whether it ran.
-    // Returns true if the attempt had completed and its stored answer was
-    // sent to the caller.
+    // Fences the attempt in the claim log, which tells whether it ran. Returns
+    // true if the attempt had completed and its stored answer was sent to the
+    // caller.
     asio::awaitable<bool>
     settle_by_fence(const messages::attempt& attempt, try_failed& failed)
     {
@@ -172,8 +172,8 @@
         }
     }
 
-    // Decides on a retry and waits for its backoff. Returns false if there
-    // is no retry; the caller has then been answered.
+    // Decides on a retry and waits for its backoff. Returns false if there is
+    // no retry; the caller has then been answered.
     asio::awaitable<bool> prepare_retry(const try_failed& failed)
     {
         const auto decided = decide(failed);
@@ -229,8 +229,7 @@
         if (reported.retry_after <= duration::zero() &&
             status_of(reported.reason) >= 500)
         {
-            // No retry time is known: use about the duration of a
-            // call.
+            // No retry time is known: use about the duration of a call.
             reported.retry_after = jittered(
                 std::max(min_retry_after, call_.work_class->target / 2),
                 call_.owner.random);
--- a/nutmegusher/node/forward_try.cpp
+++ b/nutmegusher/node/forward_try.cpp
@@ -171,8 +171,8 @@
     stream_->expire_after(call_.time_left());
     if (call_.body_complete)
     {
-        // The callbacks may run after this try: the caller can
-        // disconnect between two tries.
+        // The callbacks may run after this try: the caller can disconnect
+        // between two tries.
         std::weak_ptr<bool> caller_gone = call_.caller_gone;
         std::weak_ptr<forward_try*> weak = alive_;
         const auto end = [caller_gone, weak]
--- a/nutmegusher/node/forward_try.hpp
+++ b/nutmegusher/node/forward_try.hpp
@@ -42,13 +42,12 @@
     // before.
     ~forward_try();
 
-    // Sends the call and reads its answer, up to the limit for buffered
-    // bodies.
+    // Sends the call and reads its answer, up to the limit for buffered bodies.
     asio::awaitable<try_result> run();
 
-    // Sends the answer to the caller and streams the part that isn't
-    // buffered. Returns false if the answer broke off; the caller's
-    // connection must then not end cleanly.
+    // Sends the answer to the caller and streams the part that isn't buffered.
+    // Returns false if the answer broke off; the caller's connection must then
+    // not end cleanly.
     asio::awaitable<bool> forward_answer(try_answer answer);
 
     // The identity of this try in the claim log.
@@ -77,8 +76,8 @@
     std::optional<outstanding_tokens> outstanding_;
     // Pending until the answer begins.
     std::unique_ptr<asio::steady_timer> slow_try_timer_;
-    // A timer's handler may already be queued when this object is
-    // destroyed; it checks this pointer first.
+    // A timer's handler may already be queued when this object is destroyed; it
+    // checks this pointer first.
     std::shared_ptr<forward_try*> alive_ = std::make_shared<forward_try*>(this);
     // The try was cancelled to use a faster upstream.
     bool switched_ = false;
--- a/nutmegusher/node/own_upstream.hpp
+++ b/nutmegusher/node/own_upstream.hpp
@@ -56,15 +56,15 @@
     // `announcement_timeout`.
     upstream_change expire(time_point now);
 
-    // The incarnation of the daemon that orders this upstream's records
-    // among all records of its host.
+    // The incarnation of the daemon that orders this upstream's records among
+    // all records of its host.
     [[nodiscard]] std::uint64_t run() const;
 
-    // Raises the incarnation above `known_run`. Called when the control
-    // hosts hold a higher incarnation of this host although that run has
-    // ended, which happens when the host's clock was set back. Without this
-    // the daemon would get no configuration until the lease of the earlier
-    // run expires after six seconds.
+    // Raises the incarnation above `known_run`. Called when the control hosts
+    // hold a higher incarnation of this host although that run has ended, which
+    // happens when the host's clock was set back. Without this the daemon would
+    // get no configuration until the lease of the earlier run expires after six
+    // seconds.
     void supersede_run(std::uint64_t known_run);
 
     // Called when the daemon stops: the upstream is leaving from now on,
@@ -75,8 +75,7 @@
     // announced.
     [[nodiscard]] std::optional<announcement> current() const;
 
-    // The record sent to control hosts; empty before the first
-    // announcement.
+    // The record sent to control hosts; empty before the first announcement.
     [[nodiscard]] std::optional<messages::upstream_record> record() const;
 
 private:
--- a/nutmegusher/node/peer_call.cpp
+++ b/nutmegusher/node/peer_call.cpp
@@ -45,9 +45,8 @@
     metadata.rank = static_cast<std::uint8_t>(*rank);
     metadata.tokens = *tokens;
     metadata.attempt = *attempt;
-    // A call counts as repeatable only if the entry daemon and this one
-    // agree: for a moment the two may use different revisions of the
-    // configuration.
+    // A call counts as repeatable only if the entry daemon and this one agree:
+    // for a moment the two may use different revisions of the configuration.
     const auto* const declared = classes.find(metadata.work_class);
     metadata.target = declared == nullptr ? duration::zero() : declared->target;
     const bool declared_repeatable =
--- a/nutmegusher/node/peer_call.hpp
+++ b/nutmegusher/node/peer_call.hpp
@@ -20,8 +20,8 @@
 struct cancellation
 {
     bool requested = false;
-    // The caller is still connected and gets a final answer because the
-    // process stops.
+    // The caller is still connected and gets a final answer because the process
+    // stops.
     bool expects_answer = false;
     std::function<void()> stop;
 };
@@ -71,8 +71,8 @@
     std::optional<request_ledger::running_request> running;
     // The result reported to the admission controller.
     call_result result = call_result::never_started;
-    // Releases the admission slot with `result`; what follows doesn't use
-    // the upstream. Only the first call has an effect.
+    // Releases the admission slot with `result`; what follows doesn't use the
+    // upstream. Only the first call has an effect.
     std::function<void()> release_slot = [] {};
     // The upstream's answer or failure for a call that isn't repeatable;
     // `claim_filter` answers the call.
@@ -85,12 +85,11 @@
         return metadata.deadline - host_clock().now();
     }
 
-    // Adds the headers that every answer to a peer carries: the retry
-    // tokens left and the admission levels.
+    // Adds the headers that every answer to a peer carries: the retry tokens
+    // left and the admission levels.
     void add_feedback(wire::response_head& head);
 
-    // Answers with a refusal; does nothing if an answer was already
-    // started.
+    // Answers with a refusal; does nothing if an answer was already started.
     asio::awaitable<void> refuse(refusal refused);
 
     // Sends a complete answer of the upstream.
--- a/nutmegusher/node/pressure_controller.hpp
+++ b/nutmegusher/node/pressure_controller.hpp
@@ -29,8 +29,8 @@
     // `retry_after` is already jittered.
     std::optional<refused> check(const call_info& call, random_engine& engine);
 
-    // Records the admission level of the call path ahead, as reported with
-    // the answer to a request.
+    // Records the admission level of the call path ahead, as reported with the
+    // answer to a request.
     void on_level(const call_info& call, const admission_level& level);
 
     // Records the admission level of the call path of a sub-call made for a
@@ -43,8 +43,8 @@
     // upstream's own level.
     [[nodiscard]] admission_level deeper_for(std::uint64_t work_class) const;
 
-    // Returns the number of retry tokens for a new request. `key_hash` is
-    // the hash of its customer and key, or 0 without a key.
+    // Returns the number of retry tokens for a new request. `key_hash` is the
+    // hash of its customer and key, or 0 without a key.
     std::uint32_t
     begin_request(std::uint64_t work_class, std::uint64_t key_hash);
 
--- a/nutmegusher/node/route_controller.hpp
+++ b/nutmegusher/node/route_controller.hpp
@@ -55,7 +55,7 @@
     route_controller& operator=(const route_controller&) = delete;
     ~route_controller();
 
-    // Replaces the upstreams of the service that this daemon uses.
+    // Replaces the list of the service's upstreams that this daemon may call.
     void update(
         const service_name& service,
         std::span<const messages::upstream_record> records);
@@ -90,9 +90,9 @@
         upstream_handle upstream,
         const upstream_load& load);
 
-    // Records the admission levels that came with an answer. Returns the
-    // level of the call path ahead of calls of that class: the service as a
-    // whole, and the services it calls.
+    // Records the admission levels that came with an answer. Returns the level
+    // of the call path ahead of calls of that class: the service as a whole,
+    // and the services it calls.
     admission_level on_levels(
         const service_name& service,
         upstream_handle upstream,
--- a/nutmegusher/node/upstream_chain.cpp
+++ b/nutmegusher/node/upstream_chain.cpp
@@ -116,11 +116,10 @@
     }
 
 private:
-    // Releases the slot with the call's result when the call ends, but no
-    // later than at its deadline: a call that isn't repeatable may wait
-    // longer than that for its answer. Pattern of load: connections that
-    // have gone silent. Without the deadline each such call would hold its
-    // slot for a minute.
+    // Releases the slot with the call's result when the call ends, but no later
+    // than at its deadline: a call that isn't repeatable may wait longer than
+    // that for its answer. Pattern of load: connections that have gone silent.
+    // Without the deadline each such call would hold its slot for a minute.
     class slot
     {
     public:
--- a/nutmegusher/node/upstream_client.cpp
+++ b/nutmegusher/node/upstream_client.cpp
@@ -485,9 +485,9 @@
         {
             co_return false;
         }
-        // A process that exits closes its listener and its connections
-        // one after the other, so a connection accepted in between is
-        // closed at once.
+        // A process that exits closes its listener and its connections one
+        // after the other, so a connection accepted in between is closed at
+        // once.
         asio::steady_timer pause(state_->context);
         pause.expires_after(probe_delay);
         co_await pause.async_wait(as_tuple_awaitable);
--- a/nutmegusher/node/upstream_client.hpp
+++ b/nutmegusher/node/upstream_client.hpp
@@ -49,8 +49,7 @@
     upstream_call& operator=(const upstream_call&) = delete;
     ~upstream_call();
 
-    // Sends more of a streamed request body. Pass `end` with the last
-    // bytes.
+    // Sends more of a streamed request body. Pass `end` with the last bytes.
     asio::awaitable<outcome<void, upstream_failure>>
     write_some(std::span<const std::byte> bytes, bool end);
 
@@ -60,8 +59,8 @@
     // `read_head` succeeded.
     [[nodiscard]] std::optional<std::uint64_t> content_length() const;
 
-    // Reads a part of the answer's body and returns its size; 0 at the
-    // answer's end.
+    // Reads a part of the answer's body and returns its size; 0 at the answer's
+    // end.
     asio::awaitable<outcome<std::size_t, upstream_failure>>
     read_some(std::span<std::byte> into);
 
@@ -80,14 +79,14 @@
     // The whole body, or its first part when `streamed`.
     std::string_view body;
     bool streamed = false;
-    // Set for calls that aren't repeatable: uses only a new connection or
-    // one that was in use a moment ago, because a stale connection could
-    // leave the outcome unknown.
+    // Set for calls that aren't repeatable: uses only a new connection or one
+    // that was in use a moment ago, because a stale connection could leave the
+    // outcome unknown.
     bool needs_fresh_connection = false;
-    // Name, in lower case, of the request's field that the upstream echoes
-    // in its answer; empty if it echoes none. An answer with another value
-    // belongs to an earlier request and is skipped; an answer without the
-    // field is malformed.
+    // Name, in lower case, of the request's field that the upstream echoes in
+    // its answer; empty if it echoes none. An answer with another value belongs
+    // to an earlier request and is skipped; an answer without the field is
+    // malformed.
     std::string_view echoed_field;
     // The time limit of the whole call, from now.
     duration time_left{};
@@ -101,11 +100,10 @@
     upstream_pool& operator=(const upstream_pool&) = delete;
     ~upstream_pool();
 
-    // Connects and starts to send head and body (for a streamed body: sends
-    // its first part). An unstreamed body is sent while the answer is read,
-    // as an upstream may answer before it has read the body.
-    // `not_connected` is the only failure after which the call certainly
-    // didn't run.
+    // Connects and starts to send head and body (for a streamed body: sends its
+    // first part). An unstreamed body is sent while the answer is read, as an
+    // upstream may answer before it has read the body. `not_connected` is the
+    // only failure after which the call certainly didn't run.
     asio::awaitable<outcome<std::unique_ptr<upstream_call>, upstream_failure>>
     send(asio::ip::tcp::endpoint address, const upstream_request& request);
 
--- a/nutmegusher/node/upstream_filter.cpp
+++ b/nutmegusher/node/upstream_filter.cpp
@@ -298,8 +298,8 @@
         upstream_->cancel();
     }
 
-    // The answer has begun, so only a reset stream can tell the peer that
-    // it is incomplete.
+    // The answer has begun, so only a reset stream can tell the peer that it is
+    // incomplete.
     void abort_answer(upstream_failure failure)
     {
         call_.result = result_of(failure);
--- a/nutmegusher/node/waiting_calls.hpp
+++ b/nutmegusher/node/waiting_calls.hpp
@@ -37,9 +37,9 @@
     [[nodiscard]] std::shared_ptr<waiter>
     add(ticket_id ticket, const asio::any_io_executor& executor);
 
-    // Suspends until there is a verdict or the time is `until`; empty in
-    // the latter case, and it may then be called again. Call it on the
-    // waiter's executor and without the lock.
+    // Suspends until there is a verdict or the time is `until`; empty in the
+    // latter case, and it may then be called again. Call it on the waiter's
+    // executor and without the lock.
     [[nodiscard]] static asio::awaitable<std::optional<gate_verdict>> wait(
         std::shared_ptr<waiter> own_waiter,
         time_point until = time_point::max());
--- a/nutmegusher/node/worker.hpp
+++ b/nutmegusher/node/worker.hpp
@@ -47,11 +47,10 @@
     metrics request_metrics;
     // A graceful shutdown has begun.
     std::atomic<bool> stopping = false;
-    // The shutdown has reached the step from which only sub-calls of the
-    // own upstream are served.
+    // The shutdown has reached the step from which only sub-calls of the own
+    // upstream are served.
     std::atomic<bool> refuses_callers = false;
-    // Triggers a sync with a control host at once. Set before the workers
-    // run.
+    // Triggers a sync with a control host at once. Set before the workers run.
     std::function<void()> request_sync = [] {};
 };
 
@@ -60,8 +59,8 @@
 {
     worker(controllers& shared, std::size_t index);
 
-    // The entry host named in attempts, such as "host#2": each worker
-    // numbers its attempts separately.
+    // The entry host named in attempts, such as "host#2": each worker numbers
+    // its attempts separately.
     std::string attempt_name;
     controllers& shared;
     asio::io_context context;
