--- a/nutmegusher/node/entry_chain.cpp
+++ b/nutmegusher/node/entry_chain.cpp
@@ -217,8 +217,7 @@
                                    : limits.claimed_body_bytes;
         if (!co_await read(call, max_bytes))
         {
-            co_return; // the caller has disconnected, or the request was
-                       // refused
+            co_return; // the caller has disconnected or was refused
         }
         if (!call.work_class->repeatable && !call.body_complete)
         {
