--- a/nutmegusher/node/upstream_filter.cpp
+++ b/nutmegusher/node/upstream_filter.cpp
@@ -159,8 +159,7 @@
         call_.result = result_of(head->status);
         if (call_.result == call_result::shed_by_upstream && sub_call_refused())
         {
-            call_.result =
-                call_result::failed; // the upstream itself isn't overloaded
+            call_.result = call_result::failed; // a sub-call is overloaded
         }
         if (!call_.metadata.repeatable)
         {
