--- a/nutmegusher/node/call.cpp
+++ b/nutmegusher/node/call.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t max_token_length = 128;
 constexpr std::string_view own_prefix = "nutmeg-";
-// Above this a number of milliseconds is a mistake (a day).
+// One day. A larger number is taken for a mistake and rejected.
 constexpr std::uint32_t max_milliseconds = 86400000;
 
 struct reason_text
@@ -185,9 +185,9 @@
 
 std::string to_milliseconds(duration time)
 {
-    const auto whole =
+    const auto count =
         std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
-    return std::to_string(std::max<std::int64_t>(whole, 0));
+    return std::to_string(std::max<std::int64_t>(count, 0));
 }
 
 std::optional<std::uint32_t> parse_count(std::string_view text)
--- a/nutmegusher/node/forward_try.cpp
+++ b/nutmegusher/node/forward_try.cpp
@@ -10,8 +10,8 @@
 {
 
 constexpr std::size_t chunk_bytes = 16384;
-// Far above a round trip between regions; a host that takes longer to accept
-// is slow or gone, and another one can be tried in the time that is left.
+// Far above a round trip between regions. A host that takes longer to accept is
+// slow or down, and the time left allows a try at another host.
 constexpr duration connect_timeout = std::chrono::milliseconds(250);
 
 bool is_internal_or_hop_by_hop(std::string_view name)
@@ -23,8 +23,8 @@
            name == "proxy-connection";
 }
 
-// What goes back to the caller: the upstream's fields, and of ours the
-// outcome.
+// The fields sent to the caller: all but those for daemons only and the content
+// length, which is passed separately.
 wire::headers fields_for_caller(const wire::headers& from)
 {
     wire::headers fields;
@@ -171,12 +171,13 @@
     stream_->expire_after(call_.time_left());
     if (call_.body_complete)
     {
-        // The watch outlives this try: the caller may leave between two.
-        std::weak_ptr<bool> gone = call_.caller_gone;
+        // The callbacks may run after this try: the caller can disconnect
+        // between two tries.
+        std::weak_ptr<bool> caller_gone = call_.caller_gone;
         std::weak_ptr<forward_try*> weak = alive_;
-        const auto end = [gone, weak]
+        const auto end = [caller_gone, weak]
         {
-            if (const auto flag = gone.lock())
+            if (const auto flag = caller_gone.lock())
             {
                 *flag = true;
             }
@@ -200,16 +201,16 @@
     co_return co_await read_answer();
 }
 
-// Load pattern: one slow upstream of several. Without this each call that it
-// was given waits there until its deadline.
+// Pattern of load: one of several upstreams is slow. Without the timer, every
+// call routed to it waits there until its deadline.
 void forward_try::start_slow_try_timer()
 {
     const auto& shared = call_.owner.shared;
-    const auto& of = *call_.work_class;
-    const auto limit =
-        shared.routes.try_timeout(of.service, to_.handle, of.bulk);
-    const bool can_switch =
-        of.repeatable && call_.body_complete && call_.tokens().count() > 0;
+    const auto& work_class = *call_.work_class;
+    const auto limit = shared.routes.try_timeout(
+        work_class.service, to_.handle, work_class.bulk);
+    const bool can_switch = work_class.repeatable && call_.body_complete &&
+                            call_.tokens().count() > 0;
     if (!limit || !can_switch || *limit >= call_.time_left())
     {
         return;
@@ -242,8 +243,8 @@
 
 asio::awaitable<outcome<void, wire::stream_failure>> forward_try::send_body()
 {
-    const auto kept = std::as_bytes(std::span(call_.body));
-    auto sent = co_await stream_->write(kept, call_.body_complete);
+    const auto buffered = std::as_bytes(std::span(call_.body));
+    auto sent = co_await stream_->write(buffered, call_.body_complete);
     if (call_.body_complete || !sent)
     {
         co_return sent;
@@ -355,11 +356,12 @@
 
 void forward_try::apply_feedback(const wire::response_head& head)
 {
-    const auto back = wire::find_header(head.fields, field::retry_tokens);
-    if (back && outstanding_)
+    const auto returned_tokens =
+        wire::find_header(head.fields, field::retry_tokens);
+    if (returned_tokens && outstanding_)
     {
         call_.tokens().put(
-            outstanding_->reclaim(parse_count(*back).value_or(0)));
+            outstanding_->reclaim(parse_count(*returned_tokens).value_or(0)));
     }
     const auto text = wire::find_header(head.fields, field::admission_level);
     if (!text)
@@ -372,16 +374,16 @@
         return;
     }
     auto& shared = call_.owner.shared;
-    const auto ahead = shared.routes.on_levels(
+    const auto path_level = shared.routes.on_levels(
         call_.work_class->service, to_.handle, *levels, call_.work_class->bulk);
     if (call_.sub_call)
     {
         const auto root = call_.sub_call->context().work_class.str();
-        shared.pressure.on_sub_call_level(stable_hash(root), ahead);
+        shared.pressure.on_sub_call_level(stable_hash(root), path_level);
     }
     else if (call_.origin == request_origin::caller)
     {
-        shared.pressure.on_level(call_.info(), ahead);
+        shared.pressure.on_level(call_.info(), path_level);
     }
 }
 
--- a/nutmegusher/node/path_test.cpp
+++ b/nutmegusher/node/path_test.cpp
@@ -1,4 +1,5 @@
-// The path from a caller to an upstream and back, over real sockets.
+// End-to-end tests of calls over real sockets, from the caller through two
+// daemons to an upstream and back.
 #include "nutmegusher/node/test_deployment.hpp"
 
 #include <boost/asio/write.hpp>
@@ -16,7 +17,7 @@
 namespace
 {
 
-// Reads a request's body to its end.
+// Reads the complete body of a request.
 asio::awaitable<std::string> body_of(caller_exchange& exchange)
 {
     std::string text;
@@ -39,7 +40,8 @@
     co_await exchange.answer(std::move(head), body);
 }
 
-// A caller's daemon, an upstream's daemon and a claim log.
+// Fixture: the daemon where requests enter, the daemon beside the upstream, and
+// a claim log.
 class path : public ::testing::Test
 {
 protected:
@@ -101,18 +103,18 @@
 TEST_F(path, malformed_requests_are_refused_with_a_reason)
 {
     serve_with(echo, "balances");
-    const auto at = entry_node.callers();
-    EXPECT_EQ(request(at, "GET", "/nothing").status, 404U);
+    const auto address = entry_node.callers();
+    EXPECT_EQ(request(address, "GET", "/nothing").status, 404U);
     const auto keyless = request(
-        at, "POST", "/disbursement/pay", {{"nutmeg-customer", "zakat"}});
+        address, "POST", "/disbursement/pay", {{"nutmeg-customer", "zakat"}});
     EXPECT_EQ(keyless.status, 400U);
     EXPECT_EQ(keyless.field("nutmeg-reason"), "missing-key");
     EXPECT_EQ(keyless.field("nutmeg-outcome"), "not-run");
-    const auto without_customer =
-        request(at, "POST", "/disbursement/pay", {{"idempotency-key", "k"}});
+    const auto without_customer = request(
+        address, "POST", "/disbursement/pay", {{"idempotency-key", "k"}});
     EXPECT_EQ(without_customer.field("nutmeg-reason"), "missing-customer");
-    const auto bad_timeout =
-        request(at, "GET", "/balances/all", {{"nutmeg-timeout-ms", "soon"}});
+    const auto bad_timeout = request(
+        address, "GET", "/balances/all", {{"nutmeg-timeout-ms", "soon"}});
     EXPECT_EQ(bad_timeout.field("nutmeg-reason"), "bad-header");
 }
 
@@ -320,13 +322,13 @@
         << answer.field("nutmeg-tries") << " tries";
 }
 
-// Asks, and closes the connection a little after the upstream has run the
-// request once more.
-void ask_and_hang_up(const endpoint& at, const std::atomic<int>& runs)
+// Sends a request, waits until the upstream has run it, and closes the
+// connection 50 ms later.
+void ask_and_hang_up(const endpoint& address, const std::atomic<int>& runs)
 {
     asio::io_context context;
     asio::ip::tcp::socket socket(context);
-    socket.connect(at);
+    socket.connect(address);
     const int before = runs;
     const std::string text = "GET /balances/all HTTP/1.1\r\nhost: x\r\n\r\n";
     asio::write(socket, asio::buffer(text));
@@ -338,8 +340,9 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
 }
 
-// The first try has ended, and the second one waits for a host that accepts
-// and says nothing, when the caller leaves.
+// Guards against use of a destroyed try: the caller disconnects after the first
+// try has failed, while the second one waits for a host that accepts the
+// connection and never answers.
 TEST_F(path, a_caller_that_leaves_between_tries_is_survived)
 {
     asio::io_context context;
@@ -375,7 +378,7 @@
             std::launch::async,
             [this, caller]
             {
-                bool own = true;
+                bool all_own = true;
                 for (int i = 0; i < 50; ++i)
                 {
                     const std::string body(
@@ -387,9 +390,10 @@
                         "/balances/all",
                         {},
                         body);
-                    own = own && answer.is_complete && answer.body == body;
+                    all_own =
+                        all_own && answer.is_complete && answer.body == body;
                 }
-                return own;
+                return all_own;
             }));
     }
     for (auto& each : callers)
