--- a/nutmegusher/routed/upstream_run.cpp
+++ b/nutmegusher/routed/upstream_run.cpp
@@ -299,7 +299,7 @@
             co_return not_run(
                 to_reason(rejection->reason), rejection->retry_after);
         }
-        if (std::holds_alternative<node::gone>(verdict))
+        if (std::holds_alternative<node::caller_left>(verdict))
         {
             co_return not_run(call_reason::cancelled, duration::zero());
         }
