--- a/nutmegusher/base/clock_test.cpp
+++ b/nutmegusher/base/clock_test.cpp
@@ -10,7 +10,7 @@
 static_assert(clock_source<host_clock>);
 static_assert(clock_source<manual_clock>);
 
-TEST(manual_clock, moves_only_when_told)
+TEST(manual_clock, moves_only_when_advanced)
 {
     manual_clock clock;
     const auto before = clock.now();
--- a/nutmegusher/base/events.cpp
+++ b/nutmegusher/base/events.cpp
@@ -120,7 +120,7 @@
         event::connection_failed, "connection_failed", severity::info},
 };
 
-std::string_view level_name(severity level)
+std::string_view severity_name(severity level)
 {
     switch (level)
     {
@@ -188,7 +188,7 @@
 public:
     // How many lines were left out before this one; nothing if it is left
     // out as well.
-    bool admit(event id, std::uint32_t limit, std::uint64_t& left_out)
+    bool admit(event id, std::uint32_t limit, std::uint64_t& suppressed)
     {
         using clock = std::chrono::steady_clock;
         const std::scoped_lock lock(mutex_);
@@ -201,11 +201,11 @@
         }
         if (window.written >= limit)
         {
-            ++window.left_out;
+            ++window.suppressed;
             return false;
         }
         ++window.written;
-        left_out = std::exchange(window.left_out, 0);
+        suppressed = std::exchange(window.suppressed, 0);
         return true;
     }
 
@@ -214,7 +214,7 @@
     {
         std::chrono::steady_clock::time_point start;
         std::uint32_t written = 0;
-        std::uint64_t left_out = 0;
+        std::uint64_t suppressed = 0;
     };
 
     std::mutex mutex_;
@@ -280,7 +280,7 @@
     line += json ? ",\"name\":\"" : " name=";
     line += description.name;
     line += json ? "\",\"level\":\"" : " level=";
-    line += level_name(description.level);
+    line += severity_name(description.level);
     line += json ? "\"" : "";
     for (const auto& field : fields)
     {
@@ -316,18 +316,18 @@
     {
         return;
     }
-    std::uint64_t left_out = 0;
-    if (!logging.limiter.admit(id, logging.rate_limit, left_out))
+    std::uint64_t suppressed = 0;
+    if (!logging.limiter.admit(id, logging.rate_limit, suppressed))
     {
         return;
     }
-    std::vector<event_field> all(fields);
-    all.push_back({"process", std::string_view(logging.process)});
-    if (left_out > 0)
+    std::vector<event_field> all_fields(fields);
+    all_fields.push_back({"process", std::string_view(logging.process)});
+    if (suppressed > 0)
     {
-        all.push_back({"left_out", left_out});
+        all_fields.push_back({"left_out", suppressed});
     }
-    const auto line = format_event(logging.format, id, all);
+    const auto line = format_event(logging.format, id, all_fields);
     logging.logger->log(to_level(describe(id).level), line);
 }
 
--- a/nutmegusher/base/events_test.cpp
+++ b/nutmegusher/base/events_test.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-TEST(events, json_escapes_what_comes_from_outside)
+TEST(events, json_escapes_untrusted_values)
 {
     const std::array fields{event_field{"key", std::string_view("a\"b\n")}};
     EXPECT_EQ(
