--- a/nutmegusher/base/base.hpp
+++ b/nutmegusher/base/base.hpp
@@ -1,6 +1,7 @@
-// The vocabulary that every package shares: time, ids, errors, log events.
+// Basic types that all packages share: time, ids, errors, log events and random
+// numbers.
 //
-// Include this header only; the ones beside it are its parts.
+// Include only this header; it includes the others in this folder.
 //
 //     using namespace nutmegusher;
 //     manual_clock clock;
--- a/nutmegusher/base/clock.hpp
+++ b/nutmegusher/base/clock.hpp
@@ -1,4 +1,5 @@
-// Time as values: decisions take a `time_point`, only the daemon reads clocks.
+// Clocks and time types. Code that makes decisions takes a `time_point` as a
+// parameter; only the daemon reads clocks.
 #ifndef NUTMEGUSHER_BASE_CLOCK_HPP
 #define NUTMEGUSHER_BASE_CLOCK_HPP
 
@@ -8,14 +9,15 @@
 namespace nutmegusher
 {
 
-// Nanoseconds, signed.
+// Signed, in nanoseconds.
 using duration = std::chrono::nanoseconds;
 
-// A reading of the host's monotonic clock. Readings of two hosts, or of two
-// runs of one host, must not be compared: send durations, never time points.
+// A reading of the host's monotonic clock. Readings of different hosts, or from
+// before and after a reboot, must not be compared: send durations to other
+// processes, never time points.
 using time_point = std::chrono::time_point<std::chrono::steady_clock, duration>;
 
-// Whatever can tell the time.
+// A type with a `now()` that returns the current `time_point`.
 template <class T>
 concept clock_source = requires(const T& source)
 {
@@ -24,7 +26,7 @@
         } -> std::same_as<time_point>;
 };
 
-// The host's own monotonic clock; it goes on while the process is frozen.
+// The host's monotonic clock. It advances while the process is stopped.
 class host_clock
 {
 public:
@@ -35,7 +37,7 @@
     }
 };
 
-// A clock that moves only when told; for tests and for the replay of traces.
+// A clock that only `advance` moves; for tests and for the replay of traces.
 class manual_clock
 {
 public:
--- a/nutmegusher/base/error.hpp
+++ b/nutmegusher/base/error.hpp
@@ -1,9 +1,9 @@
-// Errors. Every failure has a type; none is a bare string.
+// Result types. Every failure has a type of its own; none is a plain string.
 //
-// Code that runs to its end in one step (settings, storage, checks) returns
-// `leaf::result<T>` and fails with one of the small structs of its package.
-// Code that suspends in a coroutine returns `outcome<T, Failure>`: LEAF keeps
-// its error objects in thread-local contexts, which don't follow a coroutine.
+// Synchronous code (settings, storage, checks) returns `leaf::result<T>` and
+// fails with an error struct of its package. Coroutines return
+// `outcome<T, Failure>`: LEAF keeps its error objects in thread-local contexts,
+// which don't follow a coroutine across its suspension points.
 #ifndef NUTMEGUSHER_BASE_ERROR_HPP
 #define NUTMEGUSHER_BASE_ERROR_HPP
 
@@ -15,7 +15,7 @@
 
 namespace leaf = boost::leaf;
 
-// A value, or a typed failure carried beside it.
+// Holds either a value or a failure.
 template <class T, class Failure>
 using outcome = boost::system::result<T, Failure>;
 
--- a/nutmegusher/base/events.cpp
+++ b/nutmegusher/base/events.cpp
@@ -182,12 +182,12 @@
         field.value);
 }
 
-// Counts the lines of each event in the running second.
+// Limits the lines of each event per one-second window.
 class rate_limiter
 {
 public:
-    // How many lines were left out before this one; nothing if it is left
-    // out as well.
+    // Whether the line may be written. If so, sets `suppressed` to the number
+    // of lines of this event that were suppressed since the last written one.
     bool admit(event id, std::uint32_t limit, std::uint64_t& suppressed)
     {
         using clock = std::chrono::steady_clock;
--- a/nutmegusher/base/events.hpp
+++ b/nutmegusher/base/events.hpp
@@ -1,13 +1,13 @@
-// Numbered log events. `docs/EVENTS.md` is their catalogue; a test holds the
-// two against each other.
+// Numbered log events. `docs/EVENTS.md` describes each of them; a test checks
+// that the two agree.
 //
 //     log_event(
 //         event::control_leader_elected,
 //         {{"host", host.str()}, {"term", term}});
 //
-// One event is written at most `rate_limit` times a second, so that a surge
-// of requests isn't followed by a surge of writes; the next line that passes
-// tells how many were left out.
+// Each event is written at most `rate_limit` times a second, so that a surge of
+// requests doesn't cause a surge of writes. The next line that is written
+// contains the number of suppressed lines in its field `left_out`.
 #ifndef NUTMEGUSHER_BASE_EVENTS_HPP
 #define NUTMEGUSHER_BASE_EVENTS_HPP
 
@@ -21,15 +21,15 @@
 namespace nutmegusher
 {
 
-// How bad it is: who reads it, and when.
+// Severity of an event.
 enum class severity : std::uint8_t
 {
-    info,    // an ordinary change of state
-    warning, // works on, with less
-    error    // something is lost or refused that should not be
+    info,    // a normal change of state
+    warning, // the process continues in a degraded state
+    error    // something was lost or refused that should not be
 };
 
-// Every event that a process writes. 1xx: process; 2xx: configuration and
+// All events that a process can log. 1xx: process; 2xx: configuration and
 // control; 3xx: membership; 4xx: requests; 5xx: execution; 6xx: connections.
 enum class event : std::uint16_t
 {
@@ -76,7 +76,7 @@
     connection_failed = 601,
 };
 
-// What the catalogue knows of an event.
+// Name and severity of an event.
 struct event_description
 {
     event id;
@@ -84,10 +84,11 @@
     severity level;
 };
 
-// All events, by rising number.
+// All events, in ascending order of their numbers.
 [[nodiscard]] std::span<const event_description> all_events();
 
-// Requires: `id` is one of the enumerators.
+// Returns the name and severity of `id`. Requires: `id` is one of the
+// enumerators.
 [[nodiscard]] const event_description& describe(event id);
 
 // A typed field of a log line.
@@ -100,23 +101,25 @@
 
 enum class log_format : std::uint8_t
 {
-    json, // an object a line
-    text  // key=value
+    json, // one object per line
+    text  // key=value pairs
 };
 
-// Lines of one event a second before the rest is only counted.
+// Lines per event and second; further lines are only counted.
 inline constexpr std::uint32_t default_event_rate_limit = 20;
 
-// Sends all events to standard output in `format`; call once, before threads.
+// Starts to write events to standard output in `format`. `process` is added to
+// each line. Call once, before threads start.
 void start_logging(
     log_format format,
     std::string_view process,
     std::uint32_t rate_limit = default_event_rate_limit);
 
-// Writes one event; safe from every thread; doesn't fail.
+// Writes one event, subject to the rate limit; does nothing before
+// `start_logging`. Thread-safe.
 void log_event(event id, std::initializer_list<event_field> fields);
 
-// The line's text, without writing it.
+// Formats the line of an event without writing it.
 [[nodiscard]] std::string
 format_event(log_format format, event id, std::span<const event_field> fields);
 
--- a/nutmegusher/base/identifier.hpp
+++ b/nutmegusher/base/identifier.hpp
@@ -1,4 +1,4 @@
-// Small value types for names and numbers that must not be mixed up.
+// Strong types for names and numbers, which the compiler keeps apart.
 #ifndef NUTMEGUSHER_BASE_IDENTIFIER_HPP
 #define NUTMEGUSHER_BASE_IDENTIFIER_HPP
 
@@ -11,7 +11,8 @@
 namespace nutmegusher
 {
 
-// A name of one kind, for example a service's. Two kinds don't convert.
+// A string of one kind, such as a service name. Names with different tags don't
+// convert to each other.
 template <class Tag>
 class name
 {
@@ -39,7 +40,8 @@
     std::string text_;
 };
 
-// A number of one kind, for example a revision. Two kinds don't convert.
+// A number of one kind, such as a revision. Numbers with different tags don't
+// convert to each other.
 template <class Tag>
 class number
 {
@@ -76,15 +78,15 @@
 using request_id = name<struct request_tag>;
 using idempotency_key = name<struct idempotency_key_tag>;
 
-// Counts accepted configurations; a daemon only ever moves to a higher one.
+// Number of an accepted configuration. A daemon never returns to a lower one.
 using revision = number<struct revision_tag>;
-// One run of a process; a restart gives a higher one.
+// Identifies one run of a process; each restart gets a higher value.
 using incarnation = number<struct incarnation_tag>;
 
-// A well-mixed 64-bit hash of bytes; the same on every host and build.
+// A 64-bit hash (XXH64, seed 0) that is the same on every host and build.
 [[nodiscard]] std::uint64_t stable_hash(std::string_view bytes);
 
-// The same, over a name with a seed, for rendezvous hashing.
+// The same hash with a seed, for rendezvous hashing.
 [[nodiscard]] std::uint64_t
 stable_hash(std::string_view bytes, std::uint64_t seed);
 
--- a/nutmegusher/base/random.hpp
+++ b/nutmegusher/base/random.hpp
@@ -1,4 +1,5 @@
-// Randomness as a parameter: seeded in tests and replays.
+// Random numbers. Callers pass the generator, so that tests and replays can
+// seed it.
 #ifndef NUTMEGUSHER_BASE_RANDOM_HPP
 #define NUTMEGUSHER_BASE_RANDOM_HPP
 
@@ -8,7 +9,7 @@
 namespace nutmegusher
 {
 
-// The generator that decisions take by reference.
+// The generator that randomised decisions take by reference.
 using random_engine = std::mt19937_64;
 
 // Uniform in [0, bound). Requires: `bound` isn't zero.
