--- a/nutmegusher/base/events.hpp
+++ b/nutmegusher/base/events.hpp
@@ -116,7 +116,7 @@
     std::uint32_t rate_limit = default_event_rate_limit);
 
 // Writes one event, subject to the rate limit; does nothing before
-// `start_logging`. Thread-safe.
+// `start_logging`. Thread-safe; reports no errors.
 void log_event(event id, std::initializer_list<event_field> fields);
 
 // Formats the line of an event without writing it.
