--- a/nutmegusher/ctl/beast_exchange.cpp
+++ b/nutmegusher/ctl/beast_exchange.cpp
@@ -23,7 +23,7 @@
 using endpoint = asio::ip::tcp::endpoint;
 
 // A dump of a large process; more isn't read.
-constexpr std::uint64_t most_reply_bytes = 256ULL * 1024 * 1024;
+constexpr std::uint64_t max_reply_bytes = 256ULL * 1024 * 1024;
 
 leaf::result<endpoint> parse_endpoint(const std::string& text)
 {
@@ -32,12 +32,14 @@
     {
         return leaf::new_error(bad_address{text});
     }
-    boost::system::error_code wrong;
-    const auto address = asio::ip::make_address(text.substr(0, colon), wrong);
+    boost::system::error_code parse_error;
+    const auto address =
+        asio::ip::make_address(text.substr(0, colon), parse_error);
     std::uint16_t port = 0;
     const auto* const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
-    if (wrong || parsed.ec != std::errc() || parsed.ptr != end || port == 0)
+    if (parse_error || parsed.ec != std::errc() || parsed.ptr != end ||
+        port == 0)
     {
         return leaf::new_error(bad_address{text});
     }
@@ -46,16 +48,17 @@
 
 // One query on one connection, driven to its end by an I/O context of its own:
 // time limits need asynchronous operations.
-class exchange_run
+class exchange_operation
 {
 public:
-    exchange_run(endpoint target, duration limit, const http_query& query)
-        : target_(std::move(target))
+    exchange_operation(
+        endpoint target, duration timeout, const http_query& query)
+        : endpoint_(std::move(target))
         , stream_(context_)
     {
         const auto verb = http::string_to_verb(query.method);
         request_ = {verb, query.target, http_version};
-        request_.set(http::field::host, target_.address().to_string());
+        request_.set(http::field::host, endpoint_.address().to_string());
         request_.set(http::field::connection, "close");
         if (!query.body.empty())
         {
@@ -63,17 +66,17 @@
         }
         request_.body() = query.body;
         request_.prepare_payload();
-        parser_.body_limit(most_reply_bytes);
-        stream_.expires_after(limit);
+        parser_.body_limit(max_reply_bytes);
+        stream_.expires_after(timeout);
     }
 
     exchange_result run()
     {
         stream_.async_connect(
-            target_,
-            [this](beast::error_code failed)
+            endpoint_,
+            [this](beast::error_code error)
             {
-                connected(failed);
+                on_connected(error);
             });
         context_.run();
         if (failure_ != std::nullopt)
@@ -87,9 +90,9 @@
 private:
     static constexpr unsigned http_version = 11;
 
-    void connected(beast::error_code failed)
+    void on_connected(beast::error_code error)
     {
-        if (failed)
+        if (error)
         {
             failure_ = exchange_failure::unreachable;
             return;
@@ -97,49 +100,49 @@
         http::async_write(
             stream_,
             request_,
-            [this](beast::error_code broken, std::size_t)
+            [this](beast::error_code io_error, std::size_t)
             {
-                sent(broken);
+                on_sent(io_error);
             });
     }
 
-    void sent(beast::error_code failed)
+    void on_sent(beast::error_code error)
     {
-        if (failed)
+        if (error)
         {
-            failure_ = classify(failed);
+            failure_ = classify(error);
             return;
         }
         http::async_read(
             stream_,
             buffer_,
             parser_,
-            [this](beast::error_code broken, std::size_t)
+            [this](beast::error_code io_error, std::size_t)
             {
-                if (broken)
+                if (io_error)
                 {
-                    failure_ = classify(broken);
+                    failure_ = classify(io_error);
                 }
             });
     }
 
-    static exchange_failure classify(beast::error_code failed)
+    static exchange_failure classify(beast::error_code error)
     {
-        if (failed == beast::error::timeout)
+        if (error == beast::error::timeout)
         {
             return exchange_failure::timed_out;
         }
         const bool malformed =
-            failed.category() ==
+            error.category() ==
                 http::make_error_code(http::error::bad_version).category() &&
-            failed != http::error::end_of_stream &&
-            failed != http::error::partial_message;
+            error != http::error::end_of_stream &&
+            error != http::error::partial_message;
         return malformed ? exchange_failure::bad_reply
                          : exchange_failure::connection_lost;
     }
 
     asio::io_context context_;
-    endpoint target_;
+    endpoint endpoint_;
     beast::tcp_stream stream_;
     http::request<http::string_body> request_;
     beast::flat_buffer buffer_;
@@ -166,13 +169,13 @@
 }
 
 leaf::result<http_exchange>
-connect_with_beast(const std::string& address, duration limit)
+connect_with_beast(const std::string& address, duration timeout)
 {
     BOOST_LEAF_AUTO(target, parse_endpoint(address));
     return http_exchange(
-        [target, limit](const http_query& query)
+        [target, timeout](const http_query& query)
         {
-            return exchange_run(target, limit, query).run();
+            return exchange_operation(target, timeout, query).run();
         });
 }
 
--- a/nutmegusher/ctl/beast_exchange_test.cpp
+++ b/nutmegusher/ctl/beast_exchange_test.cpp
@@ -19,10 +19,10 @@
 using asio::ip::tcp;
 
 // Answers one connection with the given bytes and closes it.
-class one_answer
+class one_reply_server
 {
 public:
-    explicit one_answer(std::string bytes)
+    explicit one_reply_server(std::string bytes)
         : acceptor_(
               context_, tcp::endpoint(asio::ip::address_v4::loopback(), 0))
         , thread_(
@@ -39,10 +39,10 @@
     }
 
     // What was asked; waits for the end of the exchange.
-    std::string asked()
+    std::string received_request()
     {
         thread_.join();
-        return asked_;
+        return received_request_;
     }
 
 private:
@@ -52,51 +52,57 @@
         acceptor_.accept(socket);
         boost::system::error_code ignored;
         asio::read_until(
-            socket, asio::dynamic_buffer(asked_), "\r\n\r\n", ignored);
+            socket,
+            asio::dynamic_buffer(received_request_),
+            "\r\n\r\n",
+            ignored);
         asio::write(socket, asio::buffer(bytes), ignored);
     }
 
     asio::io_context context_;
     tcp::acceptor acceptor_;
-    std::string asked_;
+    std::string received_request_;
     std::jthread thread_;
 };
 
 exchange_result
 exchange_with(const std::string& address, const http_query& query)
 {
-    auto made = connect_with_beast(address, std::chrono::seconds(20));
-    EXPECT_TRUE(made);
-    return (*made)(query);
+    auto exchange = connect_with_beast(address, std::chrono::seconds(20));
+    EXPECT_TRUE(exchange);
+    return (*exchange)(query);
 }
 
 TEST(connect_with_beast, sends_a_query_and_reads_the_reply)
 {
-    one_answer server("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\ndone");
+    one_reply_server server(
+        "HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\ndone");
     const auto reply =
         exchange_with(server.address(), {"POST", "/v1/drain", "{}"});
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 202U);
     EXPECT_EQ(reply->body, "done");
-    EXPECT_EQ(server.asked().find("POST /v1/drain HTTP/1.1\r\n"), 0U);
+    EXPECT_EQ(
+        server.received_request().find("POST /v1/drain HTTP/1.1\r\n"), 0U);
 }
 
-TEST(connect_with_beast, cut_reply_is_a_lost_connection)
+TEST(connect_with_beast, truncated_reply_is_a_lost_connection)
 {
-    one_answer server("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\ndone");
+    one_reply_server server(
+        "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\ndone");
     const auto reply = exchange_with(server.address(), {"GET", "/v1/dump", ""});
     ASSERT_FALSE(reply);
     EXPECT_EQ(reply.error(), exchange_failure::connection_lost);
-    server.asked();
+    server.received_request();
 }
 
-TEST(connect_with_beast, other_bytes_are_a_bad_reply)
+TEST(connect_with_beast, non_http_bytes_are_a_bad_reply)
 {
-    one_answer server("no http here\r\n\r\n");
+    one_reply_server server("no http here\r\n\r\n");
     const auto reply = exchange_with(server.address(), {"GET", "/v1/dump", ""});
     ASSERT_FALSE(reply);
     EXPECT_EQ(reply.error(), exchange_failure::bad_reply);
-    server.asked();
+    server.received_request();
 }
 
 TEST(connect_with_beast, refused_connection_is_unreachable)
@@ -113,7 +119,7 @@
     EXPECT_EQ(reply.error(), exchange_failure::unreachable);
 }
 
-TEST(connect_with_beast, refuses_what_is_not_an_address)
+TEST(connect_with_beast, rejects_invalid_addresses)
 {
     for (const auto* const text :
          {"",
--- a/nutmegusher/ctl/change_commands.cpp
+++ b/nutmegusher/ctl/change_commands.cpp
@@ -18,7 +18,7 @@
 
 constexpr double ppm_per_percent = 10'000.0;
 
-std::string make_change_id(const environment& where)
+std::string make_change_id(const environment& env)
 {
     constexpr std::string_view digits = "0123456789abcdef";
     constexpr unsigned bits_per_digit = 4;
@@ -26,7 +26,7 @@
     std::string id;
     for (int half = 0; half < 2; ++half)
     {
-        auto bits = where.random();
+        auto bits = env.random();
         for (std::size_t digit = 0; digit < digits.size(); ++digit)
         {
             id += digits[bits & digit_mask];
@@ -36,14 +36,14 @@
     return id;
 }
 
-messages::change begin_change(const command_context& context)
+messages::change make_change(const command_context& context)
 {
     messages::change out;
     out.set_change_id(
         context.has("change-id") ? context.text("change-id")
-                                 : make_change_id(context.where));
+                                 : make_change_id(context.env));
     out.set_author(
-        context.has("author") ? context.text("author") : context.where.author);
+        context.has("author") ? context.text("author") : context.env.author);
     return out;
 }
 
@@ -52,8 +52,8 @@
 {
     const auto percent = context.options["completion"].as<double>();
     const auto ppm = std::round(percent * ppm_per_percent);
-    const bool possible = ppm >= 0 && ppm <= max_completion_ppm;
-    return possible ? static_cast<std::uint32_t>(ppm) : max_completion_ppm + 1;
+    const bool in_range = ppm >= 0 && ppm <= max_completion_ppm;
+    return in_range ? static_cast<std::uint32_t>(ppm) : max_completion_ppm + 1;
 }
 
 void read_target(const command_context& context, messages::class_target& out)
@@ -69,12 +69,12 @@
 {
     if (context.as_json)
     {
-        print_json(context.where.out, reply);
+        print_json(context.env.out, reply);
         return;
     }
-    context.where.out << "accepted as revision "
-                      << number_field(reply, "revision") << ", change id "
-                      << change.change_id() << '\n';
+    context.env.out << "accepted as revision "
+                    << number_field(reply, "revision") << ", change id "
+                    << change.change_id() << '\n';
 }
 
 void print_refused(
@@ -82,7 +82,7 @@
     const messages::change& change,
     const client_error& error)
 {
-    auto& out = context.where.error;
+    auto& out = context.env.error;
     print_error(out, error);
     if (error.problem == client_problem::conflict)
     {
@@ -100,7 +100,7 @@
 
 exit_code submit(const command_context& context, const messages::change& change)
 {
-    context.where.error << "change id " << change.change_id() << '\n';
+    context.env.error << "change id " << change.change_id() << '\n';
     const auto reply =
         context.client.submit_change(json::serialize(to_json(change)));
     if (!reply)
@@ -110,54 +110,55 @@
     }
     print_accepted(context, change, *reply);
     return context.has("wait")
-               ? wait_in_force(
+               ? wait_until_in_force(
                      context, revision(number_field(*reply, "revision")))
                : exit_code::success;
 }
 
-exit_code
-refuse(const command_context& context, const configuration_problem& problem)
+exit_code report_bad_usage(
+    const command_context& context, const configuration_problem& problem)
 {
-    context.where.error << "error: "
-                        << messages::change_problem_Name(problem.problem)
-                        << " (" << problem.field << ")\n";
+    context.env.error << "error: "
+                      << messages::change_problem_Name(problem.problem) << " ("
+                      << problem.field << ")\n";
     return exit_code::bad_usage;
 }
 
 // Checks, compares with what is in force, and sends.
-exit_code make_change(
+exit_code validate_and_submit(
     const command_context& context,
     const std::string& name,
     messages::change change)
 {
     if (const auto problem = check_change(change))
     {
-        return refuse(context, *problem);
+        return report_bad_usage(context, *problem);
     }
     if (context.has("based-on") && !context.has("dry-run"))
     {
         change.set_based_on(context.options["based-on"].as<std::uint64_t>());
         return submit(context, change);
     }
-    const auto present = context.client.get("/v1/configuration");
-    if (!present)
+    const auto current = context.client.get("/v1/configuration");
+    if (!current)
     {
-        return report(context, present.error());
+        return report_error(context, current.error());
     }
     if (context.has("dry-run"))
     {
-        const auto effect = effect_of(change, *present);
-        context.as_json ? print_json(context.where.out, to_json(effect))
-                        : print_effect(context.where.out, effect);
+        const auto effect = compute_effect(change, *current);
+        context.as_json ? print_json(context.env.out, to_json(effect))
+                        : print_effect(context.env.out, effect);
         return exit_code::success;
     }
-    const auto* const known = find_class(*present, name);
+    const auto* const current_class = find_class(*current, name);
     change.set_based_on(
-        known == nullptr ? 0 : number_field(*known, "revision"));
+        current_class == nullptr ? 0
+                                 : number_field(*current_class, "revision"));
     return submit(context, change);
 }
 
-std::string describe_change(const json::value& change)
+std::string change_kind(const json::value& change)
 {
     if (find_field(change, "declare") != nullptr)
     {
@@ -167,7 +168,7 @@
                                                        : "remove";
 }
 
-std::string class_of(const json::value& change)
+std::string affected_class_name(const json::value& change)
 {
     if (const auto* const declared = find_field(change, "declare"))
     {
@@ -221,7 +222,7 @@
 
 exit_code declare_class(const command_context& context)
 {
-    auto change = begin_change(context);
+    auto change = make_change(context);
     auto& declared = *change.mutable_declare();
     declared.set_name(context.text("name"));
     declared.set_service(context.text("service"));
@@ -231,22 +232,25 @@
     declared.set_repeatable(context.has("repeatable"));
     declared.set_bulk(context.has("bulk"));
     read_target(context, *declared.mutable_target());
-    return make_change(context, context.text("name"), std::move(change));
+    return validate_and_submit(
+        context, context.text("name"), std::move(change));
 }
 
 exit_code set_target(const command_context& context)
 {
-    auto change = begin_change(context);
+    auto change = make_change(context);
     change.mutable_set_target()->set_class_name(context.text("name"));
     read_target(context, *change.mutable_set_target()->mutable_target());
-    return make_change(context, context.text("name"), std::move(change));
+    return validate_and_submit(
+        context, context.text("name"), std::move(change));
 }
 
 exit_code remove_class(const command_context& context)
 {
-    auto change = begin_change(context);
+    auto change = make_change(context);
     change.set_remove_class(context.text("name"));
-    return make_change(context, context.text("name"), std::move(change));
+    return validate_and_submit(
+        context, context.text("name"), std::move(change));
 }
 
 exit_code list_classes(const command_context& context)
@@ -254,15 +258,14 @@
     const auto reply = context.client.get("/v1/configuration");
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
     if (context.as_json)
     {
-        print_json(context.where.out, *reply);
+        print_json(context.env.out, *reply);
         return exit_code::success;
     }
-    context.where.out << "revision " << number_field(*reply, "revision")
-                      << '\n';
+    context.env.out << "revision " << number_field(*reply, "revision") << '\n';
     text_table table(
         {"class",
          "service",
@@ -277,7 +280,7 @@
     for (const auto& each : array_field(*reply, "classes"))
     {
         const auto* const target = find_field(each, "target");
-        const auto promised = [target](std::string_view field)
+        const auto target_field = [target](std::string_view field)
         {
             return target == nullptr ? "" : text_field(*target, field);
         };
@@ -289,11 +292,11 @@
              text_field(each, "rank"),
              text_field(each, "repeatable"),
              text_field(each, "bulk"),
-             promised("latency_ms"),
-             promised("completion_ppm"),
+             target_field("latency_ms"),
+             target_field("completion_ppm"),
              text_field(each, "revision")});
     }
-    table.print(context.where.out);
+    table.print(context.env.out);
     return exit_code::success;
 }
 
@@ -302,11 +305,11 @@
     const auto reply = context.client.get("/v1/history");
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
     if (context.as_json)
     {
-        print_json(context.where.out, *reply);
+        print_json(context.env.out, *reply);
         return exit_code::success;
     }
     text_table table({"revision", "what", "class", "author", "change id"});
@@ -316,18 +319,19 @@
     {
         const auto* const change = find_field(each, "change");
         if (change == nullptr ||
-            (context.has("name") && class_of(*change) != context.text("name")))
+            (context.has("name") &&
+             affected_class_name(*change) != context.text("name")))
         {
             continue;
         }
         table.add(
             {text_field(each, "revision"),
-             describe_change(*change),
-             class_of(*change),
+             change_kind(*change),
+             affected_class_name(*change),
              text_field(*change, "author"),
              text_field(*change, "change_id")});
     }
-    table.print(context.where.out);
+    table.print(context.env.out);
     return exit_code::success;
 }
 
--- a/nutmegusher/ctl/command.hpp
+++ b/nutmegusher/ctl/command.hpp
@@ -17,7 +17,7 @@
 // What a running command has at hand.
 struct command_context
 {
-    const environment& where;
+    const environment& env;
     operator_client& client;
     const cxxopts::ParseResult& options;
     bool as_json = false;
@@ -52,10 +52,12 @@
 void add_no_options(cxxopts::OptionAdder& add);
 
 // Prints a GET's answer as it is.
-exit_code show(const command_context& context, const std::string& target);
+exit_code
+get_and_print(const command_context& context, const std::string& target);
 
 // Prints the error and gives its exit code.
-exit_code report(const command_context& context, const client_error& error);
+exit_code
+report_error(const command_context& context, const client_error& error);
 
 // change_commands.cpp
 void add_declare_options(cxxopts::OptionAdder& add);
@@ -71,7 +73,7 @@
 void add_status_options(cxxopts::OptionAdder& add);
 void add_wait_options(cxxopts::OptionAdder& add);
 exit_code show_status(const command_context& context);
-exit_code wait_in_force(const command_context& context, revision wanted);
+exit_code wait_until_in_force(const command_context& context, revision wanted);
 
 // control_commands.cpp and outcome_commands.cpp
 void add_upstreams_options(cxxopts::OptionAdder& add);
--- a/nutmegusher/ctl/command_table.cpp
+++ b/nutmegusher/ctl/command_table.cpp
@@ -109,9 +109,10 @@
     static_cast<void>(add);
 }
 
-exit_code report(const command_context& context, const client_error& error)
+exit_code
+report_error(const command_context& context, const client_error& error)
 {
-    print_error(context.where.error, error);
+    print_error(context.env.error, error);
     return exit_code_of(error);
 }
 
--- a/nutmegusher/ctl/control_commands.cpp
+++ b/nutmegusher/ctl/control_commands.cpp
@@ -14,18 +14,19 @@
 
 void print(const command_context& context, const json::value& value)
 {
-    context.as_json ? print_json(context.where.out, value)
-                    : print_text(context.where.out, value);
+    context.as_json ? print_json(context.env.out, value)
+                    : print_text(context.env.out, value);
 }
 
 } // namespace
 
-exit_code show(const command_context& context, const std::string& target)
+exit_code
+get_and_print(const command_context& context, const std::string& target)
 {
     const auto reply = context.client.get(target);
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
     print(context, *reply);
     return exit_code::success;
@@ -40,19 +41,19 @@
 {
     if (!context.has("service"))
     {
-        return show(context, "/v1/upstreams");
+        return get_and_print(context, "/v1/upstreams");
     }
     const auto reply = context.client.get("/v1/upstreams");
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
     const auto service = context.text("service");
     const auto* const found = find_field(*reply, service);
     if (found == nullptr)
     {
-        context.where.error << "error: this process knows no upstreams of '"
-                            << service << "'\n";
+        context.env.error << "error: this process knows no upstreams of '"
+                          << service << "'\n";
         return exit_code::bad_usage;
     }
     print(context, *found);
@@ -61,7 +62,7 @@
 
 exit_code show_dump(const command_context& context)
 {
-    return show(context, "/v1/dump");
+    return get_and_print(context, "/v1/dump");
 }
 
 exit_code drain(const command_context& context)
@@ -69,16 +70,16 @@
     const auto reply = context.client.post_once("/v1/drain", "");
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
-    context.where.out << "the process takes no new work, and ends after what "
-                         "it has in flight\n";
+    context.env.out << "the process takes no new work, and ends after what "
+                       "it has in flight\n";
     return exit_code::success;
 }
 
 exit_code show_quarantine(const command_context& context)
 {
-    return show(context, "/v1/quarantine");
+    return get_and_print(context, "/v1/quarantine");
 }
 
 void add_release_options(cxxopts::OptionAdder& add)
@@ -95,15 +96,15 @@
         "/v1/quarantine/release", json::serialize(body));
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
-    context.where.out << "released; everywhere within a second\n";
+    context.env.out << "released; everywhere within a second\n";
     return exit_code::success;
 }
 
 exit_code show_control(const command_context& context)
 {
-    return show(context, "/v1/control");
+    return get_and_print(context, "/v1/control");
 }
 
 void add_replace_options(cxxopts::OptionAdder& add)
@@ -127,10 +128,10 @@
     {
         if (reply.error().problem == client_problem::no_reply)
         {
-            context.where.error
+            context.env.error
                 << "it may have been begun; see `control` before another try\n";
         }
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
     print(context, *reply);
     return exit_code::success;
--- a/nutmegusher/ctl/control_commands_test.cpp
+++ b/nutmegusher/ctl/control_commands_test.cpp
@@ -9,38 +9,41 @@
 
 TEST_F(ctl_test, upstreams_are_tables_by_service)
 {
-    answer("/v1/upstreams", 200, R"({
+    script_reply("/v1/upstreams", 200, R"({
         "balances": [{"host": "b1", "in_flight": 3, "ejected": false}],
         "statements": [{"host": "s1", "in_flight": 0, "ejected": true}]})");
-    EXPECT_EQ(command("upstreams"), exit_code::success);
+    EXPECT_EQ(run_with_address("upstreams"), exit_code::success);
     EXPECT_THAT(
         out.str(),
         HasSubstr("balances:\n  host  in_flight  ejected\n"
                   "  b1    3          false\n"));
     out.str("");
-    EXPECT_EQ(command("upstreams --service statements"), exit_code::success);
+    EXPECT_EQ(
+        run_with_address("upstreams --service statements"), exit_code::success);
     EXPECT_THAT(out.str(), HasSubstr("s1"));
-    EXPECT_EQ(command("upstreams --service none"), exit_code::bad_usage);
+    EXPECT_EQ(
+        run_with_address("upstreams --service none"), exit_code::bad_usage);
 }
 
 TEST_F(ctl_test, drain_is_sent_once)
 {
-    answer("/v1/drain", exchange_failure::connection_lost);
-    EXPECT_EQ(command("drain"), exit_code::failed);
+    script_reply("/v1/drain", exchange_failure::connection_lost);
+    EXPECT_EQ(run_with_address("drain"), exit_code::failed);
     ASSERT_EQ(queries.size(), 1U);
     EXPECT_EQ(queries[0].method, "POST");
 }
 
 TEST_F(ctl_test, control_shows_members_and_replace_is_another_command)
 {
-    answer("/v1/control", 200, R"({"leader": "c1", "members": ["c1", "c2"]})");
-    EXPECT_EQ(command("control"), exit_code::success);
+    script_reply(
+        "/v1/control", 200, R"({"leader": "c1", "members": ["c1", "c2"]})");
+    EXPECT_EQ(run_with_address("control"), exit_code::success);
     EXPECT_EQ(out.str(), "leader: c1\nmembers:\n  c1\n  c2\n");
 
-    answer("/v1/control/replace", 200, R"({"state": "catching-up"})");
+    script_reply("/v1/control/replace", 200, R"({"state": "catching-up"})");
     EXPECT_EQ(
-        command("control replace --lost c2 --new c4 "
-                "--address-of-new 127.0.0.4:9"),
+        run_with_address("control replace --lost c2 --new c4 "
+                         "--address-of-new 127.0.0.4:9"),
         exit_code::success);
     EXPECT_EQ(
         queries.back().body,
@@ -49,26 +52,26 @@
 
 TEST_F(ctl_test, quarantine_is_listed_and_released_by_digest)
 {
-    answer(
+    script_reply(
         "/v1/quarantine",
         200,
         R"([{"digest": "00000000000000ab", "service": "s", "ends": 3}])");
-    EXPECT_EQ(command("quarantine list"), exit_code::success);
+    EXPECT_EQ(run_with_address("quarantine list"), exit_code::success);
     EXPECT_THAT(out.str(), HasSubstr("00000000000000ab"));
 
-    answer("/v1/quarantine/release", 200, R"({"released": true})");
+    script_reply("/v1/quarantine/release", 200, R"({"released": true})");
     EXPECT_EQ(
-        command("quarantine release --digest 00000000000000ab"),
+        run_with_address("quarantine release --digest 00000000000000ab"),
         exit_code::success);
     EXPECT_EQ(queries.back().body, R"({"digest":"00000000000000ab"})");
 }
 
 TEST_F(ctl_test, lost_answer_to_a_replacement_is_not_resent)
 {
-    answer("/v1/control/replace", exchange_failure::timed_out);
+    script_reply("/v1/control/replace", exchange_failure::timed_out);
     EXPECT_EQ(
-        command("control replace --lost c2 --new c4 "
-                "--address-of-new 127.0.0.4:9"),
+        run_with_address("control replace --lost c2 --new c4 "
+                         "--address-of-new 127.0.0.4:9"),
         exit_code::failed);
     EXPECT_EQ(queries.size(), 1U);
     EXPECT_THAT(error.str(), HasSubstr("see `control`"));
--- a/nutmegusher/ctl/ctl.hpp
+++ b/nutmegusher/ctl/ctl.hpp
@@ -1,7 +1,7 @@
 // The operators' command line as a library.
 //
-//     ctl::environment where{...};
-//     return static_cast<int>(ctl::run(arguments, where));
+//     ctl::environment env{...};
+//     return static_cast<int>(ctl::run(arguments, env));
 //
 // `run` takes everything that reaches outside (connections, waiting, output)
 // from its environment, so that tests bring their own.
--- a/nutmegusher/ctl/ctl_test_support.hpp
+++ b/nutmegusher/ctl/ctl_test_support.hpp
@@ -20,17 +20,18 @@
 {
 protected:
     // The next answer for a target; the last one stays.
-    void answer(const std::string& target, exchange_result reply)
+    void script_reply(const std::string& target, exchange_result reply)
     {
         replies[target].push_back(std::move(reply));
     }
 
-    void answer(const std::string& target, unsigned status, std::string body)
+    void
+    script_reply(const std::string& target, unsigned status, std::string body)
     {
-        answer(target, http_reply{status, std::move(body)});
+        script_reply(target, http_reply{status, std::move(body)});
     }
 
-    exit_code run_words(const std::string& line)
+    exit_code run_line(const std::string& line)
     {
         std::vector<std::string> words;
         std::istringstream in(line);
@@ -38,13 +39,13 @@
         {
             words.push_back(word);
         }
-        return run(words, where);
+        return run(words, env);
     }
 
     // With an address.
-    exit_code command(const std::string& line)
+    exit_code run_with_address(const std::string& line)
     {
-        return run_words(line + " --address 127.0.0.1:1");
+        return run_line(line + " --address 127.0.0.1:1");
     }
 
     exchange_result reply_to(const http_query& query)
@@ -69,7 +70,7 @@
     manual_clock clock;
     std::ostringstream out;
     std::ostringstream error;
-    environment where{
+    environment env{
         .out = out,
         .error = error,
         .connect =
@@ -113,7 +114,7 @@
   "path_prefix": "/", "rank": 5, "repeatable": true, "bulk": true,
   "target": {"latency_ms": 9000, "completion_ppm": 950000}, "revision": 9}]})";
 
-inline constexpr const char* accepted =
+inline constexpr const char* accepted_reply =
     R"({"verdict": "accepted", "revision": 10})";
 
 } // namespace nutmegusher::ctl
--- a/nutmegusher/ctl/dry_run.cpp
+++ b/nutmegusher/ctl/dry_run.cpp
@@ -35,15 +35,15 @@
 
 // The class as it would be; null where it would be removed.
 json::value
-class_after(const messages::change& change, const json::value* present)
+proposed_class(const messages::change& change, const json::value* current)
 {
     if (change.has_declare())
     {
         return to_json(change.declare());
     }
-    if (change.has_set_target() && present != nullptr)
+    if (change.has_set_target() && current != nullptr)
     {
-        auto after = *present;
+        auto after = *current;
         after.get_object()["target"] = to_json(change.set_target().target());
         return after;
     }
@@ -51,13 +51,13 @@
 }
 
 void compare(
-    const json::value& now,
-    const json::value& then,
+    const json::value& current,
+    const json::value& proposed,
     std::string_view field,
     change_effect& effect)
 {
-    const auto before = text_field(now, field);
-    const auto after = text_field(then, field);
+    const auto before = text_field(current, field);
+    const auto after = text_field(proposed, field);
     if (before != after)
     {
         effect.fields.push_back({std::string(field), before, after});
@@ -65,34 +65,36 @@
 }
 
 void compare_classes(
-    const json::value& now, const json::value& then, change_effect& effect)
+    const json::value& current,
+    const json::value& proposed,
+    change_effect& effect)
 {
     for (const auto* const field :
          {"service", "method", "path_prefix", "rank", "repeatable", "bulk"})
     {
-        compare(now, then, field, effect);
+        compare(current, proposed, field, effect);
     }
     static const json::value none;
-    const auto* const target_now = find_field(now, "target");
-    const auto* const target_then = find_field(then, "target");
+    const auto* const current_target = find_field(current, "target");
+    const auto* const proposed_target = find_field(proposed, "target");
     for (const auto* const field : {"latency_ms", "completion_ppm"})
     {
         compare(
-            target_now == nullptr ? none : *target_now,
-            target_then == nullptr ? none : *target_then,
+            current_target == nullptr ? none : *current_target,
+            proposed_target == nullptr ? none : *proposed_target,
             field,
             effect);
     }
 }
 
-bool prefixes_meet(const json::value& one, const json::value& other)
+bool prefixes_overlap(const json::value& one, const json::value& other)
 {
     const auto first = text_field(one, "path_prefix");
     const auto second = text_field(other, "path_prefix");
     return first.starts_with(second) || second.starts_with(first);
 }
 
-bool methods_meet(const json::value& one, const json::value& other)
+bool methods_overlap(const json::value& one, const json::value& other)
 {
     const auto first = text_field(one, "method");
     const auto second = text_field(other, "method");
@@ -100,20 +102,21 @@
 }
 
 void compare_with_others(
-    const json::value& then,
+    const json::value& proposed,
     const json::value& configuration,
     change_effect& effect)
 {
-    const auto rank = number_field(then, "rank");
+    const auto rank = number_field(proposed, "rank");
     for (const auto& other : array_field(configuration, "classes"))
     {
         const auto name = text_field(other, "name");
-        if (name == text_field(then, "name"))
+        if (name == text_field(proposed, "name"))
         {
             continue;
         }
-        if (text_field(other, "service") == text_field(then, "service") &&
-            prefixes_meet(other, then) && methods_meet(other, then))
+        if (text_field(other, "service") == text_field(proposed, "service") &&
+            prefixes_overlap(other, proposed) &&
+            methods_overlap(other, proposed))
         {
             effect.shares_requests_with.push_back(name);
         }
@@ -149,7 +152,7 @@
     return out;
 }
 
-std::string changed_class(const messages::change& change)
+std::string affected_class_name(const messages::change& change)
 {
     if (change.has_declare())
     {
@@ -176,17 +179,17 @@
 }
 
 change_effect
-effect_of(const messages::change& change, const json::value& configuration)
+compute_effect(const messages::change& change, const json::value& configuration)
 {
     static const json::value none;
-    const auto* const present =
-        find_class(configuration, changed_class(change));
-    const auto then = class_after(change, present);
+    const auto* const current =
+        find_class(configuration, affected_class_name(change));
+    const auto proposed = proposed_class(change, current);
     change_effect effect;
-    compare_classes(present == nullptr ? none : *present, then, effect);
-    if (!then.is_null())
+    compare_classes(current == nullptr ? none : *current, proposed, effect);
+    if (!proposed.is_null())
     {
-        compare_with_others(then, configuration, effect);
+        compare_with_others(proposed, configuration, effect);
     }
     return effect;
 }
@@ -203,8 +206,8 @@
     {
         table.add(
             {each.field,
-             each.now.empty() ? "-" : each.now,
-             each.then.empty() ? "-" : each.then});
+             each.current.empty() ? "-" : each.current,
+             each.proposed.empty() ? "-" : each.proposed});
     }
     table.print(out);
     out << "shares requests with (the longest path prefix wins): "
@@ -221,7 +224,9 @@
     for (const auto& each : effect.fields)
     {
         fields.push_back(json::object{
-            {"field", each.field}, {"now", each.now}, {"then", each.then}});
+            {"field", each.field},
+            {"now", each.current},
+            {"then", each.proposed}});
     }
     return json::object{
         {"fields", std::move(fields)},
--- a/nutmegusher/ctl/dry_run.hpp
+++ b/nutmegusher/ctl/dry_run.hpp
@@ -17,8 +17,8 @@
 struct field_change
 {
     std::string field;
-    std::string now;
-    std::string then;
+    std::string current;
+    std::string proposed;
 };
 
 struct change_effect
@@ -35,8 +35,8 @@
 [[nodiscard]] const json::value*
 find_class(const json::value& configuration, std::string_view name);
 
-[[nodiscard]] change_effect
-effect_of(const messages::change& change, const json::value& configuration);
+[[nodiscard]] change_effect compute_effect(
+    const messages::change& change, const json::value& configuration);
 
 void print_effect(std::ostream& out, const change_effect& effect);
 
--- a/nutmegusher/ctl/http_exchange.hpp
+++ b/nutmegusher/ctl/http_exchange.hpp
@@ -48,10 +48,10 @@
     std::string text;
 };
 
-// A new connection for each query. `limit` bounds each of them.
+// A new connection for each query. `timeout` bounds each of them.
 // Errors: `bad_address`.
 [[nodiscard]] leaf::result<http_exchange>
-connect_with_beast(const std::string& address, duration limit);
+connect_with_beast(const std::string& address, duration timeout);
 
 } // namespace nutmegusher::ctl
 
--- a/nutmegusher/ctl/json_field.cpp
+++ b/nutmegusher/ctl/json_field.cpp
@@ -35,9 +35,9 @@
     {
         return 0;
     }
-    json::error_code wrong;
-    const auto value = found->to_number<std::uint64_t>(wrong);
-    return wrong ? 0 : value;
+    json::error_code parse_error;
+    const auto value = found->to_number<std::uint64_t>(parse_error);
+    return parse_error ? 0 : value;
 }
 
 const json::array& array_field(const json::value& from, std::string_view name)
--- a/nutmegusher/ctl/json_text.cpp
+++ b/nutmegusher/ctl/json_text.cpp
@@ -39,7 +39,7 @@
 }
 
 // The columns are those of the first item; others show in `--json`.
-void print_items(
+void print_table(
     std::ostream& out, const json::array& items, std::size_t indent)
 {
     std::vector<std::string> header;
@@ -65,7 +65,7 @@
 {
     if (is_list_of_objects(items))
     {
-        print_items(out, items, indent);
+        print_table(out, items, indent);
         return;
     }
     if (items.empty())
@@ -78,7 +78,8 @@
     }
 }
 
-void print_at(std::ostream& out, const json::value& value, std::size_t indent);
+void print_value(
+    std::ostream& out, const json::value& value, std::size_t indent);
 
 void print_object(
     std::ostream& out, const json::object& object, std::size_t indent)
@@ -92,12 +93,13 @@
             continue;
         }
         out << '\n';
-        print_at(out, item.value(), indent + indent_step);
+        print_value(out, item.value(), indent + indent_step);
     }
 }
 
 // Depth is bounded by the parser's own limit.
-void print_at(std::ostream& out, const json::value& value, std::size_t indent)
+void print_value(
+    std::ostream& out, const json::value& value, std::size_t indent)
 {
     if (const auto* const object = value.if_object())
     {
@@ -117,7 +119,7 @@
 
 void print_text(std::ostream& out, const boost::json::value& value)
 {
-    print_at(out, value, 0);
+    print_value(out, value, 0);
 }
 
 void print_json(std::ostream& out, const boost::json::value& value)
--- a/nutmegusher/ctl/json_text_test.cpp
+++ b/nutmegusher/ctl/json_text_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-std::string text_of(const char* source)
+std::string printed_text(const char* source)
 {
     std::ostringstream out;
     print_text(out, boost::json::parse(source));
@@ -21,16 +21,16 @@
 
 TEST(print_text, shows_scalars_objects_and_lists)
 {
-    EXPECT_EQ(text_of("3"), "3\n");
+    EXPECT_EQ(printed_text("3"), "3\n");
     EXPECT_EQ(
-        text_of(R"({"a": null, "b": {"c": "x"}, "d": [], "e": [1, 2]})"),
+        printed_text(R"({"a": null, "b": {"c": "x"}, "d": [], "e": [1, 2]})"),
         "a: -\nb:\n  c: x\nd:\n  none\ne:\n  1\n  2\n");
 }
 
 TEST(print_text, shows_a_list_of_objects_as_a_table)
 {
     EXPECT_EQ(
-        text_of(R"([{"h": "a", "n": 1}, {"h": "b", "other": 2}])"),
+        printed_text(R"([{"h": "a", "n": 1}, {"h": "b", "other": 2}])"),
         "h  n\na  1\nb\n");
 }
 
--- a/nutmegusher/ctl/main.cpp
+++ b/nutmegusher/ctl/main.cpp
@@ -12,9 +12,9 @@
 
 using namespace nutmegusher;
 
-constexpr duration exchange_limit = std::chrono::seconds(5);
+constexpr duration exchange_timeout = std::chrono::seconds(5);
 
-std::string from_environment(const char* name)
+std::string environment_variable(const char* name)
 {
     // No other thread runs yet.
     const auto* const value =
@@ -28,13 +28,13 @@
 {
     const std::vector<std::string> arguments(argv + 1, argv + argc);
     std::random_device entropy;
-    const ctl::environment where{
+    const ctl::environment env{
         .out = std::cout,
         .error = std::cerr,
         .connect =
             [](const std::string& address)
         {
-            return ctl::connect_with_beast(address, exchange_limit);
+            return ctl::connect_with_beast(address, exchange_timeout);
         },
         .now =
             []
@@ -52,7 +52,7 @@
             constexpr unsigned word_bits = 32;
             return (std::uint64_t{entropy()} << word_bits) | entropy();
         },
-        .default_address = from_environment("NUTMEGUSHER_ADDRESS"),
-        .author = from_environment("USER")};
-    return static_cast<int>(ctl::run(arguments, where));
+        .default_address = environment_variable("NUTMEGUSHER_ADDRESS"),
+        .author = environment_variable("USER")};
+    return static_cast<int>(ctl::run(arguments, env));
 }
--- a/nutmegusher/ctl/operator_client.cpp
+++ b/nutmegusher/ctl/operator_client.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned status_conflict = 409;
 constexpr unsigned status_unavailable = 503;
 
-client_problem problem_of(unsigned status)
+client_problem classify_status(unsigned status)
 {
     constexpr unsigned bad_request = 400;
     constexpr unsigned not_found = 404;
@@ -44,7 +44,7 @@
     return status >= first && status <= last;
 }
 
-bool worth_repeating(const client_error& error)
+bool is_retryable(const client_error& error)
 {
     return error.problem == client_problem::no_reply ||
            error.problem == client_problem::unavailable;
@@ -66,20 +66,20 @@
 }
 
 operator_client::operator_client(
-    std::vector<http_exchange> exchanges, const environment& where)
+    std::vector<http_exchange> exchanges, const environment& env)
     : exchanges_(std::move(exchanges))
-    , where_(where)
+    , env_(env)
 {
 }
 
 client_result operator_client::get(const std::string& target)
 {
-    return repeat({"GET", target, ""});
+    return send_with_retries({"GET", target, ""});
 }
 
 client_result operator_client::submit_change(const std::string& body)
 {
-    return repeat({"POST", "/v1/changes", body});
+    return send_with_retries({"POST", "/v1/changes", body});
 }
 
 client_result
@@ -88,22 +88,22 @@
     return send({"POST", target, body});
 }
 
-client_result operator_client::repeat(const http_query& query)
+client_result operator_client::send_with_retries(const http_query& query)
 {
-    const auto until = where_.now() + policy_.total;
-    auto pause = policy_.first_pause;
+    const auto deadline = env_.now() + policy_.total_time;
+    auto backoff = policy_.initial_backoff;
     auto result = send(query);
-    while (!result && worth_repeating(result.error()) &&
-           where_.now() + pause < until)
+    while (!result && is_retryable(result.error()) &&
+           env_.now() + backoff < deadline)
     {
-        where_.error << "no answer ("
-                     << (result.error().problem == client_problem::unavailable
-                             ? std::string_view("unavailable")
-                             : to_string(result.error().failure))
-                     << "), trying again\n";
-        where_.sleep(pause);
-        pause = std::min(2 * pause, policy_.longest_pause);
-        current_ = (current_ + 1) % exchanges_.size();
+        env_.error << "no answer ("
+                   << (result.error().problem == client_problem::unavailable
+                           ? std::string_view("unavailable")
+                           : to_string(result.error().failure))
+                   << "), trying again\n";
+        env_.sleep(backoff);
+        backoff = std::min(2 * backoff, policy_.max_backoff);
+        current_exchange_ = (current_exchange_ + 1) % exchanges_.size();
         result = send(query);
     }
     return result;
@@ -111,23 +111,23 @@
 
 client_result operator_client::send(const http_query& query)
 {
-    const auto reply = exchanges_[current_](query);
+    const auto reply = exchanges_[current_exchange_](query);
     if (!reply)
     {
         return client_error{
             client_problem::no_reply, reply.error(), 0, json::value()};
     }
-    json::error_code wrong;
-    auto body = json::parse(reply->body, wrong);
+    json::error_code parse_error;
+    auto body = json::parse(reply->body, parse_error);
     if (!is_success(reply->status))
     {
         return client_error{
-            problem_of(reply->status),
+            classify_status(reply->status),
             exchange_failure::bad_reply,
             reply->status,
-            wrong ? json::value() : std::move(body)};
+            parse_error ? json::value() : std::move(body)};
     }
-    if (wrong)
+    if (parse_error)
     {
         return client_error{
             client_problem::not_json,
--- a/nutmegusher/ctl/operator_client.hpp
+++ b/nutmegusher/ctl/operator_client.hpp
@@ -13,12 +13,12 @@
 {
 
 // How long a query is repeated, and with what pauses.
-struct resend_policy
+struct retry_policy
 {
     // Longer than an election of a new leader with its resends.
-    duration total = std::chrono::seconds(15);
-    duration first_pause = std::chrono::milliseconds(100);
-    duration longest_pause = std::chrono::seconds(2);
+    duration total_time = std::chrono::seconds(15);
+    duration initial_backoff = std::chrono::milliseconds(100);
+    duration max_backoff = std::chrono::seconds(2);
 };
 
 enum class client_problem : std::uint8_t
@@ -51,7 +51,7 @@
 public:
     // Requires: at least one exchange.
     operator_client(
-        std::vector<http_exchange> exchanges, const environment& where);
+        std::vector<http_exchange> exchanges, const environment& env);
 
     // Resent until it is answered, since it changes nothing.
     client_result get(const std::string& target);
@@ -64,13 +64,13 @@
     client_result post_once(const std::string& target, const std::string& body);
 
 private:
-    client_result repeat(const http_query& query);
+    client_result send_with_retries(const http_query& query);
     client_result send(const http_query& query);
 
     std::vector<http_exchange> exchanges_;
-    std::size_t current_ = 0;
-    const environment& where_;
-    resend_policy policy_;
+    std::size_t current_exchange_ = 0;
+    const environment& env_;
+    retry_policy policy_;
 };
 
 // Writes what went wrong, for a person.
--- a/nutmegusher/ctl/outcome_commands.cpp
+++ b/nutmegusher/ctl/outcome_commands.cpp
@@ -16,8 +16,8 @@
 std::string percent_encoded(std::string_view text)
 {
     constexpr std::string_view digits = "0123456789ABCDEF";
-    constexpr unsigned high_digit = 4;
-    constexpr unsigned low_digit = 15;
+    constexpr unsigned high_digit_shift = 4;
+    constexpr unsigned low_digit_mask = 15;
     std::string out;
     for (const auto each : text)
     {
@@ -29,8 +29,8 @@
             continue;
         }
         out += '%';
-        out += digits[byte >> high_digit];
-        out += digits[byte & low_digit];
+        out += digits[byte >> high_digit_shift];
+        out += digits[byte & low_digit_mask];
     }
     return out;
 }
@@ -49,9 +49,10 @@
                context.options["execution"].as<std::uint64_t>();
 }
 
-exit_code refuse(const command_context& context, std::string_view why)
+exit_code
+report_bad_usage(const command_context& context, std::string_view message)
 {
-    context.where.error << "error: " << why << '\n';
+    context.env.error << "error: " << message << '\n';
     return exit_code::bad_usage;
 }
 
@@ -77,11 +78,11 @@
     {
         if (reply.error().problem == client_problem::no_reply)
         {
-            context.where.error << "it may have been settled; see `outcome`\n";
+            context.env.error << "it may have been settled; see `outcome`\n";
         }
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
-    context.where.out << "settled\n";
+    context.env.out << "settled\n";
     return exit_code::success;
 }
 
@@ -112,24 +113,25 @@
 
 exit_code show_outcome(const command_context& context)
 {
-    return show(context, outcome_target(context));
+    return get_and_print(context, outcome_target(context));
 }
 
 exit_code settle_outcome(const command_context& context)
 {
     if (context.has("never-ran") == context.has("ran"))
     {
-        return refuse(context, "give one of --never-ran and --ran STATUS");
+        return report_bad_usage(
+            context, "give one of --never-ran and --ran STATUS");
     }
     const auto reply = context.client.get(outcome_target(context));
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
     const auto* const holder = find_field(*reply, "holder");
     if (holder == nullptr || !is_holder(*holder, context))
     {
-        context.where.error
+        context.env.error
             << "error: this execution doesn't hold the call; see `outcome`\n";
         return exit_code::conflict;
     }
--- a/nutmegusher/ctl/run.cpp
+++ b/nutmegusher/ctl/run.cpp
@@ -15,9 +15,9 @@
 namespace
 {
 
-constexpr std::size_t name_column = 20;
+constexpr std::size_t name_column_width = 20;
 
-constexpr std::string_view help_head =
+constexpr std::string_view help_header =
     R"(nutmegusherctl: declares classes of work and shows what is in force
 
   nutmegusherctl COMMAND [--address IP:PORT] [OPTIONS]
@@ -25,7 +25,7 @@
 Commands (each has --help):
 )";
 
-constexpr std::string_view help_tail = R"(
+constexpr std::string_view help_footer = R"(
   --address IP:PORT   operators' address of a process; several are separated by
                       commas and tried in turn. NUTMEGUSHER_ADDRESS stands for it
   --json              the answer as JSON
@@ -38,26 +38,29 @@
 
 void print_help(std::ostream& out)
 {
-    out << help_head;
+    out << help_header;
     for (const auto& each : all_commands())
     {
         std::string name(each.name);
-        name.resize(std::max(name_column, name.size()), ' ');
+        name.resize(std::max(name_column_width, name.size()), ' ');
         out << "  " << name << each.summary << '\n';
     }
-    out << help_tail;
+    out << help_footer;
 }
 
 // The longest name that the arguments begin with.
 const command* find_command(std::span<const std::string> arguments)
 {
-    const auto& one = arguments[0];
-    const auto two = arguments.size() > 1 ? one + " " + arguments[1] : one;
+    const auto& first_word = arguments[0];
+    const auto first_two_words =
+        arguments.size() > 1 ? first_word + " " + arguments[1] : first_word;
     const command* found = nullptr;
     for (const auto& each : all_commands())
     {
-        const bool fits = each.name == two || each.name == one;
-        if (fits && (found == nullptr || each.name.size() > found->name.size()))
+        const bool matches =
+            each.name == first_two_words || each.name == first_word;
+        if (matches &&
+            (found == nullptr || each.name.size() > found->name.size()))
         {
             found = &each;
         }
@@ -65,19 +68,19 @@
     return found;
 }
 
-cxxopts::Options make_options(const command& which)
+cxxopts::Options make_options(const command& selected)
 {
     cxxopts::Options options(
-        "nutmegusherctl " + std::string(which.name),
-        std::string(which.summary));
+        "nutmegusherctl " + std::string(selected.name),
+        std::string(selected.summary));
     auto add = options.add_options();
     add("address", "operators' address", cxxopts::value<std::string>());
     add("json", "the answer as JSON");
     add("help", "this text");
-    which.add_options(add);
-    if (!which.positional.empty())
+    selected.add_options(add);
+    if (!selected.positional.empty())
     {
-        const std::string name(which.positional);
+        const std::string name(selected.positional);
         add(name, "the class", cxxopts::value<std::string>());
         options.parse_positional(name);
         options.positional_help("NAME");
@@ -100,18 +103,19 @@
 }
 
 std::optional<std::string>
-missing_option(const command& which, const cxxopts::ParseResult& given)
+missing_option(const command& selected, const cxxopts::ParseResult& parsed)
 {
-    for (const auto& name : split(std::string(which.required), ' '))
+    for (const auto& name : split(std::string(selected.required), ' '))
     {
-        if (given.count(name) == 0)
+        if (parsed.count(name) == 0)
         {
             return "--" + name;
         }
     }
-    const std::string positional(which.positional);
-    if (which.name.starts_with("class ") && which.name != "class history" &&
-        !positional.empty() && given.count(positional) == 0)
+    const std::string positional(selected.positional);
+    if (selected.name.starts_with("class ") &&
+        selected.name != "class history" && !positional.empty() &&
+        parsed.count(positional) == 0)
     {
         return "NAME";
     }
@@ -119,12 +123,12 @@
 }
 
 leaf::result<std::vector<http_exchange>>
-connect_all(const environment& where, const std::string& addresses)
+connect_all(const environment& env, const std::string& addresses)
 {
     std::vector<http_exchange> exchanges;
     for (const auto& address : split(addresses, ','))
     {
-        BOOST_LEAF_AUTO(exchange, where.connect(address));
+        BOOST_LEAF_AUTO(exchange, env.connect(address));
         exchanges.push_back(std::move(exchange));
     }
     if (exchanges.empty())
@@ -135,103 +139,104 @@
 }
 
 exit_code run_connected(
-    const command& which,
-    const cxxopts::ParseResult& given,
-    const environment& where)
+    const command& selected,
+    const cxxopts::ParseResult& parsed,
+    const environment& env)
 {
-    const auto addresses = given.count("address") > 0
-                               ? given["address"].as<std::string>()
-                               : where.default_address;
+    const auto addresses = parsed.count("address") > 0
+                               ? parsed["address"].as<std::string>()
+                               : env.default_address;
     std::vector<http_exchange> exchanges;
-    const auto reached = leaf::try_handle_all(
+    const auto connected = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
         {
-            BOOST_LEAF_ASSIGN(exchanges, connect_all(where, addresses));
+            BOOST_LEAF_ASSIGN(exchanges, connect_all(env, addresses));
             return true;
         },
-        [&](const bad_address& wrong)
+        [&](const bad_address& error)
         {
-            where.error << "error: '" << wrong.text
-                        << "' is not an address; give --address IP:PORT\n";
+            env.error << "error: '" << error.text
+                      << "' is not an address; give --address IP:PORT\n";
             return false;
         },
         []
         {
             return false;
         });
-    if (!reached)
+    if (!connected)
     {
         return exit_code::bad_usage;
     }
-    operator_client client(std::move(exchanges), where);
+    operator_client client(std::move(exchanges), env);
     const command_context context{
-        where, client, given, given.count("json") > 0};
-    return which.run(context);
+        env, client, parsed, parsed.count("json") > 0};
+    return selected.run(context);
 }
 
 exit_code run_command(
-    const command& which,
+    const command& selected,
     std::span<const std::string> arguments,
-    const environment& where)
+    const environment& env)
 {
-    auto options = make_options(which);
+    auto options = make_options(selected);
     std::vector<const char*> words{"nutmegusherctl"};
     for (const auto& argument : arguments)
     {
         words.push_back(argument.c_str());
     }
-    const auto given =
+    const auto parsed =
         options.parse(static_cast<int>(words.size()), words.data());
-    if (given.count("help") > 0)
+    if (parsed.count("help") > 0)
     {
-        where.out << options.help();
+        env.out << options.help();
         return exit_code::success;
     }
-    if (!given.unmatched().empty())
+    if (!parsed.unmatched().empty())
     {
-        where.error << "error: unexpected argument '"
-                    << given.unmatched().front() << "'\n";
+        env.error << "error: unexpected argument '"
+                  << parsed.unmatched().front() << "'\n";
         return exit_code::bad_usage;
     }
-    if (const auto missing = missing_option(which, given))
+    if (const auto missing = missing_option(selected, parsed))
     {
-        where.error << "error: " << *missing << " is missing\n";
+        env.error << "error: " << *missing << " is missing\n";
         return exit_code::bad_usage;
     }
-    return run_connected(which, given, where);
+    return run_connected(selected, parsed, env);
 }
 
 } // namespace
 
-exit_code run(std::span<const std::string> arguments, const environment& where)
+exit_code run(std::span<const std::string> arguments, const environment& env)
 {
     if (arguments.empty() || arguments[0] == "--help" || arguments[0] == "help")
     {
-        print_help(arguments.empty() ? where.error : where.out);
+        print_help(arguments.empty() ? env.error : env.out);
         return arguments.empty() ? exit_code::bad_usage : exit_code::success;
     }
     if (arguments[0] == "--version")
     {
-        where.out << "nutmegusherctl " << NUTMEGUSHER_VERSION << '\n';
+        env.out << "nutmegusherctl " << NUTMEGUSHER_VERSION << '\n';
         return exit_code::success;
     }
-    const auto* const which = find_command(arguments);
-    if (which == nullptr)
+    const auto* const selected = find_command(arguments);
+    if (selected == nullptr)
     {
-        where.error << "error: no such command; see --help\n";
+        env.error << "error: no such command; see --help\n";
         return exit_code::bad_usage;
     }
-    const auto words = std::count(which->name.begin(), which->name.end(), ' ');
+    const auto words =
+        std::count(selected->name.begin(), selected->name.end(), ' ');
     try
     {
         return run_command(
-            *which,
+            *selected,
             arguments.subspan(static_cast<std::size_t>(words) + 1),
-            where);
+            env);
     }
-    catch (const cxxopts::exceptions::exception& wrong)
+    catch (const cxxopts::exceptions::exception& error)
     {
-        where.error << "error: " << wrong.what() << '\n';
+        env.error << "error: " << error.what() << '\n';
         return exit_code::bad_usage;
     }
 }
--- a/nutmegusher/ctl/run.hpp
+++ b/nutmegusher/ctl/run.hpp
@@ -45,7 +45,7 @@
 
 // `arguments`: without the program's name.
 [[nodiscard]] exit_code
-run(std::span<const std::string> arguments, const environment& where);
+run(std::span<const std::string> arguments, const environment& env);
 
 } // namespace nutmegusher::ctl
 
--- a/nutmegusher/ctl/status_commands.cpp
+++ b/nutmegusher/ctl/status_commands.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr duration poll_interval = std::chrono::milliseconds(250);
-constexpr std::size_t named_in_progress = 3;
+constexpr std::size_t max_listed_hosts = 3;
 
 // `GET /v1/rollout`, counted against one revision.
 struct rollout_state
@@ -31,9 +31,10 @@
     if (find_field(reply, "counts") == nullptr)
     {
         // Counted against the latest revision: no more can be in force.
-        const bool known = number_field(reply, "revision") >= wanted.value();
+        const bool covers_wanted =
+            number_field(reply, "revision") >= wanted.value();
         state.daemons = number_field(reply, "daemons");
-        state.in_force = known ? number_field(reply, "in_force") : 0;
+        state.in_force = covers_wanted ? number_field(reply, "in_force") : 0;
         return state;
     }
     for (const auto& each : array_field(reply, "counts"))
@@ -49,11 +50,11 @@
 std::string lagging_names(const json::value& reply, revision wanted)
 {
     std::string out;
-    std::size_t named = 0;
+    std::size_t listed = 0;
     for (const auto& each : array_field(reply, "lagging"))
     {
         if (number_field(each, "revision") < wanted.value() &&
-            named++ < named_in_progress)
+            listed++ < max_listed_hosts)
         {
             out += (out.empty() ? "" : ", ") + text_field(each, "host");
         }
@@ -64,7 +65,7 @@
 void print_status(
     const command_context& context, const json::value& reply, revision wanted)
 {
-    auto& out = context.where.out;
+    auto& out = context.env.out;
     const auto state = count_rollout(reply, wanted);
     out << "revision " << wanted.value() << " is in force at " << state.in_force
         << " of " << state.daemons << " daemons\n";
@@ -111,7 +112,7 @@
     const auto reply = context.client.get("/v1/rollout");
     if (!reply)
     {
-        return report(context, reply.error());
+        return report_error(context, reply.error());
     }
     const revision wanted(
         context.has("revision")
@@ -119,44 +120,44 @@
             : number_field(*reply, "revision"));
     if (context.has("wait"))
     {
-        return wait_in_force(context, wanted);
+        return wait_until_in_force(context, wanted);
     }
     if (context.as_json)
     {
-        print_json(context.where.out, *reply);
+        print_json(context.env.out, *reply);
         return exit_code::success;
     }
     print_status(context, *reply, wanted);
     return exit_code::success;
 }
 
-exit_code wait_in_force(const command_context& context, revision wanted)
+exit_code wait_until_in_force(const command_context& context, revision wanted)
 {
-    const auto& where = context.where;
-    const auto until = where.now() + wait_limit(context);
+    const auto& env = context.env;
+    const auto deadline = env.now() + wait_limit(context);
     while (true)
     {
         const auto reply = context.client.get("/v1/rollout");
         if (!reply)
         {
-            return report(context, reply.error());
+            return report_error(context, reply.error());
         }
         const auto state = count_rollout(*reply, wanted);
         if (state.complete())
         {
-            where.out << "revision " << wanted.value() << " is in force at all "
-                      << state.daemons << " daemons\n";
+            env.out << "revision " << wanted.value() << " is in force at all "
+                    << state.daemons << " daemons\n";
             return exit_code::success;
         }
-        if (where.now() >= until)
+        if (env.now() >= deadline)
         {
             print_status(context, *reply, wanted);
             return exit_code::timed_out;
         }
-        where.error << "revision " << wanted.value() << ": " << state.in_force
-                    << " of " << state.daemons << " daemons; waiting for "
-                    << lagging_names(*reply, wanted) << '\n';
-        where.sleep(poll_interval);
+        env.error << "revision " << wanted.value() << ": " << state.in_force
+                  << " of " << state.daemons << " daemons; waiting for "
+                  << lagging_names(*reply, wanted) << '\n';
+        env.sleep(poll_interval);
     }
 }
 
--- a/nutmegusher/ctl/status_commands_test.cpp
+++ b/nutmegusher/ctl/status_commands_test.cpp
@@ -7,17 +7,17 @@
 
 using ::testing::HasSubstr;
 
-constexpr const char* lagging = R"({"revision": 10,
+constexpr const char* lagging_rollout = R"({"revision": 10,
     "counts": [{"revision": 10, "daemons": 14}, {"revision": 9, "daemons": 2}],
     "lagging": [{"host": "d1", "revision": 9}, {"host": "d2", "revision": 9}]})";
-constexpr const char* in_force = R"({"revision": 11,
+constexpr const char* complete_rollout = R"({"revision": 11,
     "counts": [{"revision": 11, "daemons": 1}, {"revision": 10, "daemons": 15}],
     "lagging": [{"host": "d1", "revision": 10}]})";
 
-TEST_F(ctl_test, status_names_who_lags)
+TEST_F(ctl_test, status_names_lagging_daemons)
 {
-    answer("/v1/rollout", 200, lagging);
-    EXPECT_EQ(command("status"), exit_code::success);
+    script_reply("/v1/rollout", 200, lagging_rollout);
+    EXPECT_EQ(run_with_address("status"), exit_code::success);
     EXPECT_THAT(
         out.str(), HasSubstr("revision 10 is in force at 14 of 16 daemons"));
     EXPECT_THAT(out.str(), HasSubstr("d2              9"));
@@ -25,56 +25,63 @@
 
 TEST_F(ctl_test, wait_shows_progress_and_ends_when_all_have_it)
 {
-    answer("/v1/rollout", 200, lagging);
-    answer("/v1/rollout", 200, lagging);
-    answer("/v1/rollout", 200, in_force);
-    EXPECT_EQ(command("status --wait --revision 10"), exit_code::success);
+    script_reply("/v1/rollout", 200, lagging_rollout);
+    script_reply("/v1/rollout", 200, lagging_rollout);
+    script_reply("/v1/rollout", 200, complete_rollout);
+    EXPECT_EQ(
+        run_with_address("status --wait --revision 10"), exit_code::success);
     EXPECT_THAT(
         error.str(),
         HasSubstr("revision 10: 14 of 16 daemons; waiting for d1, d2"));
     EXPECT_THAT(out.str(), HasSubstr("in force at all 16 daemons"));
 }
 
-TEST_F(ctl_test, totals_will_do_where_there_are_no_counts)
+TEST_F(ctl_test, totals_are_used_without_counts)
 {
-    answer(
+    script_reply(
         "/v1/rollout", 200, R"({"revision": 9, "daemons": 2, "in_force": 2})");
-    answer(
+    script_reply(
         "/v1/rollout", 200, R"({"revision": 10, "daemons": 2, "in_force": 1})");
-    answer(
+    script_reply(
         "/v1/rollout", 200, R"({"revision": 10, "daemons": 2, "in_force": 2})");
-    EXPECT_EQ(command("status --wait --revision 10"), exit_code::success);
+    EXPECT_EQ(
+        run_with_address("status --wait --revision 10"), exit_code::success);
     EXPECT_EQ(queries.size(), 3U);
 }
 
 TEST_F(ctl_test, wait_ends_with_4_when_its_time_is_over)
 {
-    answer("/v1/rollout", 200, lagging);
-    EXPECT_EQ(command("status --wait --wait-seconds 2"), exit_code::timed_out);
+    script_reply("/v1/rollout", 200, lagging_rollout);
+    EXPECT_EQ(
+        run_with_address("status --wait --wait-seconds 2"),
+        exit_code::timed_out);
     EXPECT_THAT(out.str(), HasSubstr("d1"));
 }
 
-TEST_F(ctl_test, nobody_there_is_not_in_force_everywhere)
+TEST_F(ctl_test, no_daemons_is_not_in_force_everywhere)
 {
-    answer("/v1/rollout", 200, R"({"revision": 10, "counts": []})");
-    EXPECT_EQ(command("status --wait --wait-seconds 1"), exit_code::timed_out);
+    script_reply("/v1/rollout", 200, R"({"revision": 10, "counts": []})");
+    EXPECT_EQ(
+        run_with_address("status --wait --wait-seconds 1"),
+        exit_code::timed_out);
 }
 
 TEST_F(ctl_test, change_can_wait_until_it_is_in_force)
 {
-    answer("/v1/configuration", 200, two_classes);
-    answer("/v1/changes", 200, accepted);
-    answer("/v1/rollout", 200, lagging);
-    answer("/v1/rollout", 200, in_force);
-    EXPECT_EQ(command("class remove statement --wait"), exit_code::success);
+    script_reply("/v1/configuration", 200, two_classes);
+    script_reply("/v1/changes", 200, accepted_reply);
+    script_reply("/v1/rollout", 200, lagging_rollout);
+    script_reply("/v1/rollout", 200, complete_rollout);
+    EXPECT_EQ(
+        run_with_address("class remove statement --wait"), exit_code::success);
     EXPECT_THAT(out.str(), HasSubstr("revision 10 is in force at all 16"));
 }
 
-TEST_F(ctl_test, plain_daemon_knows_no_rollout)
+TEST_F(ctl_test, daemon_without_control_has_no_rollout)
 {
-    answer(
+    script_reply(
         "/v1/rollout", 404, R"({"error": {"problem": "not-a-control-host"}})");
-    EXPECT_EQ(command("status"), exit_code::bad_usage);
+    EXPECT_EQ(run_with_address("status"), exit_code::bad_usage);
     EXPECT_THAT(error.str(), HasSubstr("not-a-control-host, status 404"));
 }
 
--- a/nutmegusher/daemon/daemon_main.cpp
+++ b/nutmegusher/daemon/daemon_main.cpp
@@ -53,7 +53,7 @@
     return text.str();
 }
 
-int report(const std::string& what, int code)
+int report_error(const std::string& what, int code)
 {
     std::cerr << "nutmegusherd: " << what << "\n";
     return code;
@@ -61,9 +61,9 @@
 
 // Null where callers, upstreams and operators speak the product's own
 // interface.
-std::unique_ptr<extension> added_to(const settings& read)
+std::unique_ptr<extension> make_extension(const settings& loaded)
 {
-    if (read.dialect != "platform")
+    if (loaded.dialect != "platform")
     {
         return nullptr;
     }
@@ -71,17 +71,17 @@
 }
 
 // The file's path from `--settings` or the named variable; empty: neither.
-std::string settings_file(const cxxopts::ParseResult& given)
+std::string settings_file(const cxxopts::ParseResult& parsed)
 {
-    if (given.count("settings") > 0)
+    if (parsed.count("settings") > 0)
     {
-        return given["settings"].as<std::string>();
+        return parsed["settings"].as<std::string>();
     }
-    if (given.count("settings-variable") == 0)
+    if (parsed.count("settings-variable") == 0)
     {
         return {};
     }
-    const auto variable = given["settings-variable"].as<std::string>();
+    const auto variable = parsed["settings-variable"].as<std::string>();
     const char* const value = std::getenv(variable.c_str());
     return value == nullptr ? std::string() : std::string(value);
 }
@@ -91,32 +91,35 @@
     return leaf::try_handle_all(
         [&]() -> leaf::result<int>
         {
-            BOOST_LEAF_AUTO(read, read_settings(file));
+            BOOST_LEAF_AUTO(loaded, read_settings(file));
             if (check_only)
             {
                 std::cout << file << ": good\n";
                 return EXIT_SUCCESS;
             }
             start_logging(
-                read.log.format, read.host.id.str(), read.log.lines_per_second);
-            BOOST_LEAF_AUTO(process, daemon::start(read, added_to(read)));
+                loaded.log.format,
+                loaded.host.id.str(),
+                loaded.log.lines_per_second);
+            BOOST_LEAF_AUTO(
+                process, daemon::start(loaded, make_extension(loaded)));
             process->run();
             return EXIT_SUCCESS;
         },
         [](const settings_error& error)
         {
-            return report(to_string(error), exit_bad_input);
+            return report_error(to_string(error), exit_bad_input);
         },
         [](const listen_error& error)
         {
-            return report(
+            return report_error(
                 "can't listen on " + to_text(error.address) + ": " +
                     error.code.message(),
                 exit_failed);
         },
         [](const wire::listen_failure& error)
         {
-            return report(
+            return report_error(
                 "can't listen on " + to_text(error.address) + ": " +
                     error.cause.message(),
                 exit_failed);
@@ -125,7 +128,7 @@
         {
             std::ostringstream text;
             text << "can't start: " << info;
-            return report(text.str(), exit_failed);
+            return report_error(text.str(), exit_failed);
         });
 }
 
@@ -144,28 +147,28 @@
     auto options = make_options();
     try
     {
-        const auto given = options.parse(count, arguments);
-        if (given.count("help") > 0)
+        const auto parsed = options.parse(count, arguments);
+        if (parsed.count("help") > 0)
         {
             std::cout << options.help() << "\n";
             return EXIT_SUCCESS;
         }
-        if (given.count("version") > 0)
+        if (parsed.count("version") > 0)
         {
             std::cout << "nutmegusherd " << version << "\n";
             return EXIT_SUCCESS;
         }
-        const auto file = settings_file(given);
+        const auto file = settings_file(parsed);
         if (file.empty())
         {
-            return report(
+            return report_error(
                 "--settings FILE or --settings-variable NAME is needed",
                 exit_bad_input);
         }
-        return run(file, given.count("check") > 0);
+        return run(file, parsed.count("check") > 0);
     }
     catch (const cxxopts::exceptions::exception& error)
     {
-        return report(error.what(), exit_bad_input);
+        return report_error(error.what(), exit_bad_input);
     }
 }
