--- a/nutmegusher/ctl/beast_exchange.cpp
+++ b/nutmegusher/ctl/beast_exchange.cpp
@@ -22,7 +22,7 @@
 
 using endpoint = asio::ip::tcp::endpoint;
 
-// A dump of a large process; more isn't read.
+// Enough for the dump of a large process. A longer reply fails.
 constexpr std::uint64_t max_reply_bytes = 256ULL * 1024 * 1024;
 
 leaf::result<endpoint> parse_endpoint(const std::string& text)
@@ -46,8 +46,8 @@
     return endpoint(address, port);
 }
 
-// One query on one connection, driven to its end by an I/O context of its own:
-// time limits need asynchronous operations.
+// Sends one query on its own connection and reads the reply. Runs its own I/O
+// context, since Beast applies timeouts to asynchronous operations only.
 class exchange_operation
 {
 public:
--- a/nutmegusher/ctl/beast_exchange_test.cpp
+++ b/nutmegusher/ctl/beast_exchange_test.cpp
@@ -18,7 +18,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// Answers one connection with the given bytes and closes it.
+// Accepts one connection, replies with the given bytes and closes it.
 class one_reply_server
 {
 public:
@@ -38,7 +38,7 @@
         return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
     }
 
-    // What was asked; waits for the end of the exchange.
+    // The request's header as received. Waits until the exchange has ended.
     std::string received_request()
     {
         thread_.join();
--- a/nutmegusher/ctl/change_commands.cpp
+++ b/nutmegusher/ctl/change_commands.cpp
@@ -1,4 +1,4 @@
-// Commands that declare and show classes.
+// Commands that declare, change, remove and list classes of work.
 #include "nutmegusher/control/control.hpp"
 #include "nutmegusher/ctl/command.hpp"
 #include "nutmegusher/ctl/dry_run.hpp"
@@ -47,7 +47,8 @@
     return out;
 }
 
-// Out of range where it isn't a percentage; the check names the field then.
+// `--completion` in parts per million. A value that isn't a percentage becomes
+// an out-of-range one, so that `check_change` rejects it and names the field.
 std::uint32_t completion_ppm(const command_context& context)
 {
     const auto percent = context.options["completion"].as<double>();
@@ -87,12 +88,12 @@
     if (error.problem == client_problem::conflict)
     {
         out << "the class is at revision "
-            << number_field(error.body, "revision") << " now; look at it and "
-            << "decide again\n";
+            << number_field(error.body, "revision") << " now; review it"
+            << " and resubmit\n";
     }
     else if (exit_code_of(error) == exit_code::failed)
     {
-        out << "it may have been accepted; to resend the same change:"
+        out << "the change may have been accepted; to resend it:"
             << " --change-id " << change.change_id() << " --based-on "
             << change.based_on() << '\n';
     }
@@ -124,7 +125,9 @@
     return exit_code::bad_usage;
 }
 
-// Checks, compares with what is in force, and sends.
+// Validates the change, then submits it, or prints its effect for `--dry-run`.
+// Without `--based-on`, the change is based on the class's current revision.
+// `name`: the changed class.
 exit_code validate_and_submit(
     const command_context& context,
     const std::string& name,
@@ -186,20 +189,23 @@
 void add_change_options(cxxopts::OptionAdder& add)
 {
     add("change-id",
-        "makes a resend recognizable; made up where it is missing",
+        "identifies the change, so that a resend has no second effect; "
+        "generated if missing",
         cxxopts::value<std::string>());
     add("based-on",
-        "revision of the class that you saw; read where it is missing",
+        "revision of the class that the change starts from; current if missing",
         cxxopts::value<std::uint64_t>());
-    add("author", "who changes it", cxxopts::value<std::string>());
-    add("dry-run", "shows the effect and changes nothing");
+    add("author",
+        "author of the change, for the history",
+        cxxopts::value<std::string>());
+    add("dry-run", "show the effect without making the change");
     add_wait_options(add);
 }
 
 void add_target_options(cxxopts::OptionAdder& add)
 {
     add("latency-ms",
-        "whole answers within so many milliseconds",
+        "target time to the complete answer, in milliseconds",
         cxxopts::value<std::uint32_t>());
     add("completion",
         "percent of the offered requests that must complete",
@@ -209,14 +215,16 @@
 
 void add_declare_options(cxxopts::OptionAdder& add)
 {
-    add("service", "the service", cxxopts::value<std::string>());
+    add("service",
+        "service that the class belongs to",
+        cxxopts::value<std::string>());
     add("method", "HTTP method; any if missing", cxxopts::value<std::string>());
     add("path",
         "prefix of the path below the service",
         cxxopts::value<std::string>()->default_value("/"));
     add("rank", "0 is refused last, 9 first", cxxopts::value<std::uint32_t>());
-    add("repeatable", "may run more than once");
-    add("bulk", "long transfers, kept apart from short work");
+    add("repeatable", "requests may safely run more than once");
+    add("bulk", "long transfers, kept apart from short requests");
     add_target_options(add);
 }
 
--- a/nutmegusher/ctl/change_commands_test.cpp
+++ b/nutmegusher/ctl/change_commands_test.cpp
@@ -26,7 +26,7 @@
         script_reply("/v1/configuration", 200, two_classes);
     }
 
-    // The changes that were sent.
+    // Bodies of the changes that were sent, in order.
     std::vector<json::value> changes() const
     {
         std::vector<json::value> out;
--- a/nutmegusher/ctl/command.hpp
+++ b/nutmegusher/ctl/command.hpp
@@ -1,4 +1,4 @@
-// What every command is made of.
+// The table of commands, and helpers that the commands share.
 #ifndef NUTMEGUSHER_CTL_COMMAND_HPP
 #define NUTMEGUSHER_CTL_COMMAND_HPP
 
@@ -14,7 +14,7 @@
 namespace nutmegusher::ctl
 {
 
-// What a running command has at hand.
+// The parsed options, client and environment of a running command.
 struct command_context
 {
     const environment& env;
@@ -27,20 +27,22 @@
         return options.count(option) > 0;
     }
 
+    // The option's value; empty where it isn't given.
     [[nodiscard]] std::string text(const std::string& option) const
     {
         return has(option) ? options[option].as<std::string>() : "";
     }
 };
 
+// One entry of the command table.
 struct command
 {
-    // One or two words.
+    // One or two words, such as `status` or `class list`.
     std::string_view name;
     std::string_view summary;
-    // The positional argument's name, or empty.
+    // Name of the positional argument; empty if there is none.
     std::string_view positional;
-    // Options that must be given, separated by spaces.
+    // Names of the mandatory options, separated by spaces.
     std::string_view required;
     void (*add_options)(cxxopts::OptionAdder&);
     exit_code (*run)(const command_context&);
@@ -48,18 +50,18 @@
 
 [[nodiscard]] std::span<const command> all_commands();
 
-// For commands without options of their own.
+// For commands that have only the common options.
 void add_no_options(cxxopts::OptionAdder& add);
 
-// Prints a GET's answer as it is.
+// Sends GET for `target` and prints the reply as JSON or text.
 exit_code
 get_and_print(const command_context& context, const std::string& target);
 
-// Prints the error and gives its exit code.
+// Prints the error and returns its exit code.
 exit_code
 report_error(const command_context& context, const client_error& error);
 
-// change_commands.cpp
+// Defined in change_commands.cpp.
 void add_declare_options(cxxopts::OptionAdder& add);
 void add_target_options(cxxopts::OptionAdder& add);
 void add_change_options(cxxopts::OptionAdder& add);
@@ -69,13 +71,15 @@
 exit_code list_classes(const command_context& context);
 exit_code show_history(const command_context& context);
 
-// status_commands.cpp
+// Defined in status_commands.cpp.
 void add_status_options(cxxopts::OptionAdder& add);
 void add_wait_options(cxxopts::OptionAdder& add);
 exit_code show_status(const command_context& context);
+// Polls until all daemons run revision `wanted` or a later one, or until
+// `--wait-seconds` have passed (`timed_out`).
 exit_code wait_until_in_force(const command_context& context, revision wanted);
 
-// control_commands.cpp and outcome_commands.cpp
+// Defined in control_commands.cpp and outcome_commands.cpp.
 void add_upstreams_options(cxxopts::OptionAdder& add);
 void add_outcome_options(cxxopts::OptionAdder& add);
 void add_settle_options(cxxopts::OptionAdder& add);
--- a/nutmegusher/ctl/control_commands.cpp
+++ b/nutmegusher/ctl/control_commands.cpp
@@ -1,4 +1,4 @@
-// Commands about one process and the control hosts.
+// Commands for upstreams, dump, drain, quarantine and the control hosts.
 #include "nutmegusher/ctl/command.hpp"
 #include "nutmegusher/ctl/json_text.hpp"
 
@@ -34,7 +34,9 @@
 
 void add_upstreams_options(cxxopts::OptionAdder& add)
 {
-    add("service", "only of this service", cxxopts::value<std::string>());
+    add("service",
+        "show only upstreams of this service",
+        cxxopts::value<std::string>());
 }
 
 exit_code show_upstreams(const command_context& context)
@@ -72,8 +74,8 @@
     {
         return report_error(context, reply.error());
     }
-    context.env.out << "the process takes no new work, and ends after what "
-                       "it has in flight\n";
+    context.env.out << "the process accepts no new requests and stops once "
+                       "those in flight have ended\n";
     return exit_code::success;
 }
 
@@ -85,7 +87,7 @@
 void add_release_options(cxxopts::OptionAdder& add)
 {
     add("digest",
-        "as `quarantine list` shows it",
+        "digest of the request, as `quarantine list` shows it",
         cxxopts::value<std::string>());
 }
 
@@ -98,7 +100,7 @@
     {
         return report_error(context, reply.error());
     }
-    context.env.out << "released; everywhere within a second\n";
+    context.env.out << "released; takes effect everywhere within a second\n";
     return exit_code::success;
 }
 
@@ -109,10 +111,10 @@
 
 void add_replace_options(cxxopts::OptionAdder& add)
 {
-    add("lost", "host that is lost", cxxopts::value<std::string>());
-    add("new", "host that takes its place", cxxopts::value<std::string>());
+    add("lost", "the lost control host", cxxopts::value<std::string>());
+    add("new", "the host that replaces it", cxxopts::value<std::string>());
     add("address-of-new",
-        "ip:port of its peer listener",
+        "IP:PORT of the new host's peer listener",
         cxxopts::value<std::string>());
 }
 
@@ -129,7 +131,8 @@
         if (reply.error().problem == client_problem::no_reply)
         {
             context.env.error
-                << "it may have been begun; see `control` before another try\n";
+                << "the replacement may have started; see `control` before you "
+                   "try again\n";
         }
         return report_error(context, reply.error());
     }
--- a/nutmegusher/ctl/ctl.hpp
+++ b/nutmegusher/ctl/ctl.hpp
@@ -1,10 +1,10 @@
-// The operators' command line as a library.
+// The operators' command line tool as a library.
 //
 //     ctl::environment env{...};
 //     return static_cast<int>(ctl::run(arguments, env));
 //
-// `run` takes everything that reaches outside (connections, waiting, output)
-// from its environment, so that tests bring their own.
+// `run` does all I/O (connections, sleeping, output) through its environment,
+// so that tests can replace it.
 #ifndef NUTMEGUSHER_CTL_CTL_HPP
 #define NUTMEGUSHER_CTL_CTL_HPP
 
--- a/nutmegusher/ctl/ctl_test_support.hpp
+++ b/nutmegusher/ctl/ctl_test_support.hpp
@@ -1,4 +1,4 @@
-// Runs commands against a scripted process. For tests only.
+// Runs commands against scripted replies instead of a process. For tests only.
 #ifndef NUTMEGUSHER_CTL_CTL_TEST_SUPPORT_HPP
 #define NUTMEGUSHER_CTL_CTL_TEST_SUPPORT_HPP
 
@@ -16,10 +16,13 @@
 namespace nutmegusher::ctl
 {
 
+// Fixture: `script_reply` sets the replies, `run_with_address` runs a command
+// line, and `queries`, `out` and `error` hold what it sent and printed.
 class ctl_test : public ::testing::Test
 {
 protected:
-    // The next answer for a target; the last one stays.
+    // Appends a reply to the target's queue. The last reply of a queue is
+    // repeated; a target without replies is unreachable.
     void script_reply(const std::string& target, exchange_result reply)
     {
         replies[target].push_back(std::move(reply));
@@ -42,7 +45,7 @@
         return run(words, env);
     }
 
-    // With an address.
+    // Runs the line with a valid `--address`.
     exit_code run_with_address(const std::string& line)
     {
         return run_line(line + " --address 127.0.0.1:1");
--- a/nutmegusher/ctl/dry_run.cpp
+++ b/nutmegusher/ctl/dry_run.cpp
@@ -33,7 +33,7 @@
         {"target", to_json(from.target())}};
 }
 
-// The class as it would be; null where it would be removed.
+// The class after the change; null if the change removes it.
 json::value
 proposed_class(const messages::change& change, const json::value* current)
 {
--- a/nutmegusher/ctl/dry_run.hpp
+++ b/nutmegusher/ctl/dry_run.hpp
@@ -1,4 +1,4 @@
-// What a change would do, before it is made.
+// Computes and prints the effect of a change for `--dry-run`.
 #ifndef NUTMEGUSHER_CTL_DRY_RUN_HPP
 #define NUTMEGUSHER_CTL_DRY_RUN_HPP
 
@@ -13,7 +13,7 @@
 namespace nutmegusher::ctl
 {
 
-// One field of a class that would change.
+// A field of a class whose value would change, with both values.
 struct field_change
 {
     std::string field;
@@ -21,12 +21,15 @@
     std::string proposed;
 };
 
+// The difference that a change would make.
 struct change_effect
 {
     std::vector<field_change> fields;
-    // Of the same service: whose requests it would take, or give to.
+    // Classes of the same service whose method and path prefix overlap those
+    // of the changed class: requests would move between them.
     std::vector<std::string> shares_requests_with;
-    // By rank, as overload would.
+    // Classes of higher and of lower rank number, which overload refuses
+    // before and after the changed class.
     std::vector<std::string> refused_before;
     std::vector<std::string> refused_after;
 };
--- a/nutmegusher/ctl/http_exchange.hpp
+++ b/nutmegusher/ctl/http_exchange.hpp
@@ -1,4 +1,4 @@
-// One HTTP request to a process's operators' address, and its answer.
+// Sends an HTTP request to the operators' address of a process.
 #ifndef NUTMEGUSHER_CTL_HTTP_EXCHANGE_HPP
 #define NUTMEGUSHER_CTL_HTTP_EXCHANGE_HPP
 
@@ -25,8 +25,8 @@
     std::string body;
 };
 
-// Why there is no reply. Only after `unreachable` it is certain that the query
-// had no effect.
+// Why there is no reply. Only `unreachable` guarantees that the query had no
+// effect.
 enum class exchange_failure : std::uint8_t
 {
     unreachable,
@@ -42,13 +42,14 @@
 // Sends one query and waits for the reply.
 using http_exchange = std::function<exchange_result(const http_query&)>;
 
-// An address is not `ip:port`.
+// Error: `text` isn't an `IP:PORT` address.
 struct bad_address
 {
     std::string text;
 };
 
-// A new connection for each query. `timeout` bounds each of them.
+// An exchange that opens a new connection for each query. `timeout` applies to
+// each query as a whole.
 // Errors: `bad_address`.
 [[nodiscard]] leaf::result<http_exchange>
 connect_with_beast(const std::string& address, duration timeout);
--- a/nutmegusher/ctl/json_text.cpp
+++ b/nutmegusher/ctl/json_text.cpp
@@ -38,7 +38,8 @@
     return std::string(item.key().data(), item.key().size());
 }
 
-// The columns are those of the first item; others show in `--json`.
+// The columns are the fields of the first item. Fields that only later items
+// have are left out; `--json` shows them.
 void print_table(
     std::ostream& out, const json::array& items, std::size_t indent)
 {
@@ -97,7 +98,7 @@
     }
 }
 
-// Depth is bounded by the parser's own limit.
+// The recursion is bounded by the JSON parser's depth limit.
 void print_value(
     std::ostream& out, const json::value& value, std::size_t indent)
 {
--- a/nutmegusher/ctl/json_text.hpp
+++ b/nutmegusher/ctl/json_text.hpp
@@ -1,4 +1,4 @@
-// JSON as a person reads it.
+// Prints JSON values for a terminal.
 #ifndef NUTMEGUSHER_CTL_JSON_TEXT_HPP
 #define NUTMEGUSHER_CTL_JSON_TEXT_HPP
 
@@ -9,11 +9,11 @@
 namespace nutmegusher::ctl
 {
 
-// Objects become lines of `name: value`, lists of objects become tables, and
-// what lies deeper is indented.
+// Prints objects as lines of `name: value` and lists of objects as tables.
+// Nested values are indented.
 void print_text(std::ostream& out, const boost::json::value& value);
 
-// On one line; for `--json`.
+// Prints the value as JSON on one line, for `--json`.
 void print_json(std::ostream& out, const boost::json::value& value);
 
 } // namespace nutmegusher::ctl
--- a/nutmegusher/ctl/main.cpp
+++ b/nutmegusher/ctl/main.cpp
@@ -16,7 +16,7 @@
 
 std::string environment_variable(const char* name)
 {
-    // No other thread runs yet.
+    // `getenv` is safe here, as no other thread runs.
     const auto* const value =
         std::getenv(name); // NOLINT(concurrency-mt-unsafe)
     return value == nullptr ? "" : value;
--- a/nutmegusher/ctl/operator_client.cpp
+++ b/nutmegusher/ctl/operator_client.cpp
@@ -100,7 +100,7 @@
                    << (result.error().problem == client_problem::unavailable
                            ? std::string_view("unavailable")
                            : to_string(result.error().failure))
-                   << "), trying again\n";
+                   << "), retrying\n";
         env_.sleep(backoff);
         backoff = std::min(2 * backoff, policy_.max_backoff);
         current_exchange_ = (current_exchange_ + 1) % exchanges_.size();
@@ -147,7 +147,7 @@
     }
     if (error.problem == client_problem::not_json)
     {
-        out << "error: the answer isn't JSON; is this an operators' address?\n";
+        out << "error: the reply isn't JSON; is this an operators' address?\n";
         return;
     }
     const auto* const nested = find_field(error.body, "error");
--- a/nutmegusher/ctl/operator_client.hpp
+++ b/nutmegusher/ctl/operator_client.hpp
@@ -1,4 +1,4 @@
-// What a command asks of the processes, with resends where they are safe.
+// Sends a command's queries and retries them where that is safe.
 #ifndef NUTMEGUSHER_CTL_OPERATOR_CLIENT_HPP
 #define NUTMEGUSHER_CTL_OPERATOR_CLIENT_HPP
 
@@ -12,10 +12,10 @@
 namespace nutmegusher::ctl
 {
 
-// How long a query is repeated, and with what pauses.
+// How long a query is retried, and with which exponential backoff.
 struct retry_policy
 {
-    // Longer than an election of a new leader with its resends.
+    // Longer than the election of a new leader, resends included.
     duration total_time = std::chrono::seconds(15);
     duration initial_backoff = std::chrono::milliseconds(100);
     duration max_backoff = std::chrono::seconds(2);
@@ -23,20 +23,21 @@
 
 enum class client_problem : std::uint8_t
 {
-    no_reply,    // see `failure`; a change may have been accepted
+    no_reply,    // `failure` says why; a change may have been accepted
     unavailable, // 503
     conflict,    // 409
     invalid,     // 400, 404, 405 or 422
     not_json,    // a reply that isn't JSON
-    refused      // another status
+    refused      // any other status that isn't 2xx
 };
 
+// A failed query.
 struct client_error
 {
     client_problem problem = client_problem::no_reply;
     exchange_failure failure = exchange_failure::unreachable;
     unsigned status = 0;
-    // The reply's body where it was JSON.
+    // The reply's body if it was JSON, null otherwise.
     json::value body;
 };
 
@@ -44,8 +45,8 @@
 
 [[nodiscard]] exit_code exit_code_of(const client_error& error);
 
-// One or more addresses of the same deployment; the next one is used where one
-// doesn't answer.
+// Sends queries to one or more addresses of the same deployment. Each
+// retry goes to the next address.
 class operator_client
 {
 public:
@@ -53,14 +54,14 @@
     operator_client(
         std::vector<http_exchange> exchanges, const environment& env);
 
-    // Resent until it is answered, since it changes nothing.
+    // Retried as `retry_policy` says, since it changes nothing.
     client_result get(const std::string& target);
 
-    // Resent until it is answered: `body` has a change id, by which the system
-    // knows the resend and gives the first answer again.
+    // Retried alike, since it is idempotent: `body` holds a change id, by which
+    // the system recognizes a resend and repeats its first answer.
     client_result submit_change(const std::string& body);
 
-    // Sent once: a second one could have another effect.
+    // Never retried: a second request could have a further effect.
     client_result post_once(const std::string& target, const std::string& body);
 
 private:
@@ -73,7 +74,7 @@
     retry_policy policy_;
 };
 
-// Writes what went wrong, for a person.
+// Prints the error as one line for the operator.
 void print_error(std::ostream& out, const client_error& error);
 
 } // namespace nutmegusher::ctl
--- a/nutmegusher/ctl/outcome_commands.cpp
+++ b/nutmegusher/ctl/outcome_commands.cpp
@@ -1,4 +1,4 @@
-// Commands about calls that may not be repeated.
+// Commands that show and settle calls that may not be repeated.
 #include "nutmegusher/ctl/command.hpp"
 
 #include <boost/json/object.hpp>
@@ -12,7 +12,7 @@
 namespace
 {
 
-// As a part of a query.
+// The text as a value in a URL's query.
 std::string percent_encoded(std::string_view text)
 {
     constexpr std::string_view digits = "0123456789ABCDEF";
@@ -78,7 +78,8 @@
     {
         if (reply.error().problem == client_problem::no_reply)
         {
-            context.env.error << "it may have been settled; see `outcome`\n";
+            context.env.error
+                << "the call may have been settled; see `outcome`\n";
         }
         return report_error(context, reply.error());
     }
@@ -90,17 +91,19 @@
 
 void add_outcome_options(cxxopts::OptionAdder& add)
 {
-    add("customer", "the customer", cxxopts::value<std::string>());
-    add("class", "the class", cxxopts::value<std::string>());
-    add("key", "the idempotency key", cxxopts::value<std::string>());
+    add("customer",
+        "customer that made the call",
+        cxxopts::value<std::string>());
+    add("class", "class of the call", cxxopts::value<std::string>());
+    add("key", "idempotency key of the call", cxxopts::value<std::string>());
 }
 
 void add_settle_options(cxxopts::OptionAdder& add)
 {
     add_outcome_options(add);
     add("executor",
-        "host that held the call, as `outcome` shows it; its process must have "
-        "ended, a frozen one would still run the call",
+        "host that holds the call, as `outcome` shows it; its process must "
+        "have ended, as a frozen one could still run the call",
         cxxopts::value<std::string>());
     add("execution",
         "number of the execution, as `outcome` shows it",
@@ -121,7 +124,7 @@
     if (context.has("never-ran") == context.has("ran"))
     {
         return report_bad_usage(
-            context, "give one of --never-ran and --ran STATUS");
+            context, "give either --never-ran or --ran STATUS");
     }
     const auto reply = context.client.get(outcome_target(context));
     if (!reply)
--- a/nutmegusher/ctl/run.cpp
+++ b/nutmegusher/ctl/run.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t name_column_width = 20;
 
 constexpr std::string_view help_header =
-    R"(nutmegusherctl: declares classes of work and shows what is in force
+    R"(nutmegusherctl: declares classes of work and shows the state of processes
 
   nutmegusherctl COMMAND [--address IP:PORT] [OPTIONS]
 
@@ -27,13 +27,13 @@
 
 constexpr std::string_view help_footer = R"(
   --address IP:PORT   operators' address of a process; several are separated by
-                      commas and tried in turn. NUTMEGUSHER_ADDRESS stands for it
-  --json              the answer as JSON
-  --version
+                      commas and tried in turn. Default: NUTMEGUSHER_ADDRESS
+  --json              print JSON
+  --version           print the version
 
 Exit codes: 0 done, 1 failed or unavailable (a change may be resent with its
 --change-id), 2 wrong arguments or invalid input, 3 conflict with another change,
-4 not in force everywhere before --wait-seconds were over.
+4 not in force everywhere within --wait-seconds.
 )";
 
 void print_help(std::ostream& out)
@@ -48,7 +48,8 @@
     out << help_footer;
 }
 
-// The longest name that the arguments begin with.
+// The command whose name the arguments start with; null if there is none. A
+// name of two words takes precedence over one of one word.
 const command* find_command(std::span<const std::string> arguments)
 {
     const auto& first_word = arguments[0];
@@ -74,14 +75,16 @@
         "nutmegusherctl " + std::string(selected.name),
         std::string(selected.summary));
     auto add = options.add_options();
-    add("address", "operators' address", cxxopts::value<std::string>());
-    add("json", "the answer as JSON");
-    add("help", "this text");
+    add("address",
+        "operators' address of a process, IP:PORT",
+        cxxopts::value<std::string>());
+    add("json", "print JSON");
+    add("help", "print this help");
     selected.add_options(add);
     if (!selected.positional.empty())
     {
         const std::string name(selected.positional);
-        add(name, "the class", cxxopts::value<std::string>());
+        add(name, "name of the class", cxxopts::value<std::string>());
         options.parse_positional(name);
         options.positional_help("NAME");
     }
--- a/nutmegusher/ctl/run.hpp
+++ b/nutmegusher/ctl/run.hpp
@@ -14,20 +14,20 @@
 namespace nutmegusher::ctl
 {
 
-// What the program ends with.
+// Exit codes of the program.
 enum class exit_code : std::uint8_t
 {
     success = 0,
     failed = 1,    // unavailable or unreachable; a change may be resent
-    bad_usage = 2, // wrong arguments, or the system found the input invalid
-    conflict = 3,  // somebody else's change came first
-    timed_out = 4  // `--wait` ended before it was in force everywhere
+    bad_usage = 2, // wrong arguments, or input that the system rejects
+    conflict = 3,  // the state has changed, as by another change
+    timed_out = 4  // not in force everywhere within `--wait-seconds`
 };
 
-// Everything that a command reaches outside for.
+// The I/O of a command: output, connections, time and randomness.
 struct environment
 {
-    // The answer; a table or JSON.
+    // The command's result: a table, text or JSON.
     std::ostream& out;
     // Progress and errors.
     std::ostream& error;
@@ -37,13 +37,14 @@
     std::function<time_point()> now;
     std::function<void(duration)> sleep;
     std::function<std::uint64_t()> random;
-    // Used where no `--address` is given; may be empty.
+    // Used if `--address` isn't given; may be empty.
     std::string default_address;
-    // Who makes the change, for the history.
+    // Default author of changes, for the history.
     std::string author;
 };
 
-// `arguments`: without the program's name.
+// Runs the command that `arguments` (without the program's name) describe, and
+// prints its result or error.
 [[nodiscard]] exit_code
 run(std::span<const std::string> arguments, const environment& env);
 
--- a/nutmegusher/ctl/status_commands.cpp
+++ b/nutmegusher/ctl/status_commands.cpp
@@ -1,4 +1,4 @@
-// Commands that show what is in force.
+// Commands that show the rollout of revisions to the daemons.
 #include "nutmegusher/ctl/command.hpp"
 #include "nutmegusher/ctl/json_text.hpp"
 #include "nutmegusher/ctl/text_table.hpp"
@@ -13,7 +13,7 @@
 constexpr duration poll_interval = std::chrono::milliseconds(250);
 constexpr std::size_t max_listed_hosts = 3;
 
-// `GET /v1/rollout`, counted against one revision.
+// How many daemons run a given revision or a later one.
 struct rollout_state
 {
     std::uint64_t daemons = 0;
@@ -30,7 +30,8 @@
     rollout_state state;
     if (find_field(reply, "counts") == nullptr)
     {
-        // Counted against the latest revision: no more can be in force.
+        // The totals refer to the latest revision. If that is older than
+        // `wanted`, `wanted` isn't in force anywhere.
         const bool covers_wanted =
             number_field(reply, "revision") >= wanted.value();
         state.daemons = number_field(reply, "daemons");
@@ -93,16 +94,16 @@
 
 void add_wait_options(cxxopts::OptionAdder& add)
 {
-    add("wait", "waits until it is in force everywhere");
+    add("wait", "wait until the revision is in force everywhere");
     add("wait-seconds",
-        "how long at most",
+        "maximum time to wait",
         cxxopts::value<std::uint32_t>()->default_value("30"));
 }
 
 void add_status_options(cxxopts::OptionAdder& add)
 {
     add("revision",
-        "asks for this revision, not for the latest",
+        "show this revision instead of the latest",
         cxxopts::value<std::uint64_t>());
     add_wait_options(add);
 }
--- a/nutmegusher/ctl/status_commands_test.cpp
+++ b/nutmegusher/ctl/status_commands_test.cpp
@@ -7,9 +7,11 @@
 
 using ::testing::HasSubstr;
 
+// Revision 10 is missing at two of 16 daemons.
 constexpr const char* lagging_rollout = R"({"revision": 10,
     "counts": [{"revision": 10, "daemons": 14}, {"revision": 9, "daemons": 2}],
     "lagging": [{"host": "d1", "revision": 9}, {"host": "d2", "revision": 9}]})";
+// All daemons run revision 10 or a later one.
 constexpr const char* complete_rollout = R"({"revision": 11,
     "counts": [{"revision": 11, "daemons": 1}, {"revision": 10, "daemons": 15}],
     "lagging": [{"host": "d1", "revision": 10}]})";
--- a/nutmegusher/ctl/text_table.hpp
+++ b/nutmegusher/ctl/text_table.hpp
@@ -1,4 +1,4 @@
-// Tables for a terminal.
+// Formats tables for a terminal.
 #ifndef NUTMEGUSHER_CTL_TEXT_TABLE_HPP
 #define NUTMEGUSHER_CTL_TEXT_TABLE_HPP
 
@@ -9,13 +9,13 @@
 namespace nutmegusher::ctl
 {
 
-// Rows under a header, each column as wide as its widest cell.
+// A header and rows. Each column is as wide as its widest cell.
 class text_table
 {
 public:
     explicit text_table(std::vector<std::string> header);
 
-    // Missing cells are empty; ones beyond the header are left out.
+    // Missing cells stay empty; cells beyond the header are dropped.
     void add(std::vector<std::string> row);
 
     [[nodiscard]] bool empty() const
@@ -27,7 +27,7 @@
     void print(std::ostream& out, std::size_t indent = 0) const;
 
 private:
-    // The header first.
+    // The header is the first row.
     std::vector<std::vector<std::string>> rows_;
 };
 
--- a/nutmegusher/daemon/daemon_main.cpp
+++ b/nutmegusher/daemon/daemon_main.cpp
@@ -31,18 +31,18 @@
 {
     cxxopts::Options options(
         "nutmegusherd",
-        "The daemon beside an upstream, and the control host where the "
-        "settings have a [control] section.");
+        "The daemon that runs beside an upstream. It is also a control host if "
+        "the settings have a [control] section.");
     auto add = options.add_options();
     add("s,settings",
         "INI file, see docs/SETTINGS.md",
         cxxopts::value<std::string>());
     add("settings-variable",
-        "environment variable that holds the file's path",
+        "environment variable that holds the path of the INI file",
         cxxopts::value<std::string>());
-    add("check", "read the settings, say what is wrong, and end");
-    add("h,help", "this text");
-    add("version", "the version");
+    add("check", "check the settings, report what is wrong, and exit");
+    add("h,help", "print this help");
+    add("version", "print the version");
     return options;
 }
 
@@ -59,8 +59,8 @@
     return code;
 }
 
-// Null where callers, upstreams and operators speak the product's own
-// interface.
+// The extension for the platform dialect; null if callers, upstreams and
+// operators use Nutmegusher's own interface.
 std::unique_ptr<extension> make_extension(const settings& loaded)
 {
     if (loaded.dialect != "platform")
@@ -70,7 +70,8 @@
     return routed::make_routed_extension(platform::make_adapter());
 }
 
-// The file's path from `--settings` or the named variable; empty: neither.
+// The path of the settings file, from `--settings` or from the environment
+// variable that `--settings-variable` names. Empty if neither gives one.
 std::string settings_file(const cxxopts::ParseResult& parsed)
 {
     if (parsed.count("settings") > 0)
@@ -136,13 +137,15 @@
 
 int main(int count, char** arguments)
 {
-    // A peer that has gone is an error of its connection, not of the process.
+    // Writing to a closed connection must fail with an error, not end the
+    // process.
     std::signal(SIGPIPE, SIG_IGN);
-    // Settings hold addresses and folders, none of which can change while
-    // requests run; supervisors that send it must not end the process by it.
+    // Some supervisors send SIGHUP to reload settings. Addresses and folders
+    // can't change while requests run, so the signal is ignored instead of
+    // ending the process.
     std::signal(SIGHUP, SIG_IGN);
-    // Protobuf would write a line, unlimited, for each malformed text that a
-    // peer sends.
+    // Protobuf would otherwise log a line for each malformed message from a
+    // peer, without a rate limit.
     google::protobuf::SetLogHandler(nullptr);
     auto options = make_options();
     try
@@ -162,7 +165,7 @@
         if (file.empty())
         {
             return report_error(
-                "--settings FILE or --settings-variable NAME is needed",
+                "give --settings FILE or --settings-variable NAME",
                 exit_bad_input);
         }
         return run(file, parsed.count("check") > 0);
