--- a/nutmegusher/node/settings.cpp
+++ b/nutmegusher/node/settings.cpp
@@ -151,19 +151,19 @@
     case settings_problem::missing_key:
         return "missing";
     case settings_problem::repeated_key:
-        return "given twice";
+        return "is set more than once";
     case settings_problem::bad_address:
         return "isn't ip:port";
     case settings_problem::bad_number:
-        return "isn't a whole number";
+        return "isn't a non-negative integer";
     case settings_problem::out_of_range:
         return "out of range";
     case settings_problem::bad_name:
         return "isn't a name (1 to 64 of a-z, A-Z, 0-9, '-', '_', '.')";
     case settings_problem::bad_choice:
-        return "isn't one of the choices";
+        return "isn't an allowed value";
     case settings_problem::empty_list:
-        return "names nothing";
+        return "is an empty list";
     }
     return "refused";
 }
@@ -206,7 +206,8 @@
     BOOST_LEAF_ASSIGN(
         control.tolerated_losses,
         in.count("control", "tolerated_losses", 0, 0, max_tolerated_losses));
-    // Hosts that find their cluster by themselves need no names of founders.
+    // With tolerated losses set, control hosts form the cluster by themselves,
+    // so `initial` is optional.
     if (control.tolerated_losses == 0 || in.text("control", "initial"))
     {
         BOOST_LEAF_ASSIGN(
@@ -273,7 +274,7 @@
             min_killed_after_ms,
             max_shutdown_ms));
     shutdown.accept_for = std::chrono::milliseconds(accept);
-    // The rest is for closing what is left.
+    // The last eleventh is reserved for closing connections.
     shutdown.limit = std::chrono::milliseconds(killed_after) * 10 / 11;
     return shutdown;
 }
@@ -329,7 +330,7 @@
                : settings_problem::not_ini;
 }
 
-// PropertyTree's INI reader knows only ';' comments.
+// PropertyTree's INI parser supports only ';' comments.
 std::string without_hash_comments(std::string_view text)
 {
     std::istringstream in{std::string(text)};
--- a/nutmegusher/node/settings.hpp
+++ b/nutmegusher/node/settings.hpp
@@ -1,6 +1,6 @@
-// The settings of one process, read from an INI file and checked whole before
-// anything starts. `docs/SETTINGS.md` is the reference; a test holds it
-// against `known_settings()`.
+// The settings of one process, read from an INI file and validated completely
+// before anything starts. `docs/SETTINGS.md` is the reference; a test compares
+// it with `known_settings()`.
 //
 //     leaf::result<settings> read = read_settings("/etc/nutmegusher.ini");
 //
@@ -41,21 +41,21 @@
     empty_list
 };
 
-// Why a settings file is refused.
+// Why a settings file is rejected.
 struct settings_error
 {
     std::string file;
-    std::size_t line = 0; // 0: the file as a whole
+    std::size_t line = 0; // 0: the error concerns the whole file
     std::string section;
     std::string key;
     std::string value;
     settings_problem problem = settings_problem::not_ini;
 };
 
-// One line for a person: "node.ini:7: [listen] peers: bad address 'x'".
+// One readable line: "node.ini:7: [listen] peers: 'x' isn't ip:port".
 [[nodiscard]] std::string to_string(const settings_error& error);
 
-// Who this process is.
+// Identity, location and threads of this process.
 struct host_settings
 {
     host_id id;
@@ -64,35 +64,36 @@
     std::uint32_t threads = 2;
 };
 
-// Where it listens. Absent listeners aren't opened.
+// Listen addresses of the process. Absent listeners aren't opened.
 struct listen_settings
 {
     std::optional<endpoint> callers;
     std::optional<endpoint> upstream;
     endpoint peers;
     endpoint operators;
-    // Serves counters and times to whoever collects them.
+    // Serves only /metrics, to metrics collectors.
     std::optional<endpoint> metrics;
 };
 
-// A control host by name, as in `initial`.
+// Name and address of a control host, as listed in `initial`.
 struct named_address
 {
     host_id host;
     endpoint address;
 };
 
-// The part of a control host.
+// Section [control]; present only on a control host.
 struct control_host_settings
 {
     std::filesystem::path data_folder;
     std::vector<named_address> initial;
     std::uint32_t claim_groups = 4;
-    // With an empty `initial`: the control hosts under [control_hosts] found
-    // the cluster.
+    // If `initial` is empty, the control hosts under [control_hosts] found the
+    // cluster.
     bool bootstrap = false;
-    // Losses at a time that the voters bear, twice as many and one; 0: no
-    // voter is added or removed without an operator.
+    // Simultaneous host failures that the quorum must survive: the control
+    // hosts keep 2 * tolerated_losses + 1 voters by themselves. 0: only an
+    // operator adds or removes voters.
     std::uint32_t tolerated_losses = 0;
     bool voter = true;
 };
@@ -103,20 +104,20 @@
     std::uint32_t lines_per_second = default_event_rate_limit;
 };
 
-// Upper bounds on what comes from outside.
+// Upper bounds on connections and requests from outside.
 struct limit_settings
 {
     std::uint32_t connections = 4096;
     std::uint32_t header_bytes = 16384;
-    // Bodies up to this size are kept whole, so that a call can be tried again
-    // and an answer is passed on only when it is complete.
+    // Bodies up to this size are buffered, so that a call can be retried and an
+    // answer is forwarded only when it is complete.
     std::uint32_t buffered_body_bytes = 65536;
-    // The largest request of a class that may not be repeated.
+    // Largest request body in bytes of a class that may not be repeated.
     std::uint32_t claimed_body_bytes = 1048576;
 };
 
-// Switches the decisions under load to naive ones, as the baseline of
-// measurements; never for production.
+// Replaces the decisions under load by naive ones, as a baseline for
+// measurements; not for production.
 struct measurement_settings
 {
     bool naive = false;
@@ -125,18 +126,18 @@
 // The upstream on this host.
 struct upstream_settings
 {
-    // What its sub-calls say where they come from; also what members and
-    // clerks on this host call as.
+    // Calling service of the upstream's sub-calls, and of requests by members
+    // and clerks on this host.
     service_name service;
 };
 
-// How the process ends.
+// Time limits of a graceful shutdown.
 struct shutdown_settings
 {
-    // New connections are still accepted for so long, as callers hear of the
-    // stop only then.
+    // How long new connections are still accepted, for callers that haven't
+    // yet learned of the shutdown.
     duration accept_for{0};
-    // What is in flight afterwards is cut.
+    // Requests still in flight after this time are cut off.
     duration limit = std::chrono::seconds(60);
 };
 
@@ -150,7 +151,8 @@
     limit_settings limits;
     upstream_settings upstream;
     shutdown_settings shutdown;
-    // Whose names and formats callers, upstreams and operators use.
+    // Names and formats that the listeners speak to callers, upstreams and
+    // operators: "own" or "platform".
     std::string dialect = "own";
     measurement_settings measurement;
 };
@@ -166,14 +168,16 @@
 
 [[nodiscard]] std::span<const known_setting> known_settings();
 
-// "127.0.0.1:80" or "[::1]:80"; names aren't looked up.
+// Parses "127.0.0.1:80" or "[::1]:80"; host names aren't resolved. Returns
+// nothing if the text isn't an address and a port.
 [[nodiscard]] std::optional<endpoint> parse_endpoint(std::string_view text);
 
+// Reads and validates a settings file.
 // Errors: `settings_error`.
 [[nodiscard]] leaf::result<settings>
 read_settings(const std::filesystem::path& file);
 
-// The same over a text; `file_name` is for the errors.
+// Like `read_settings`, for a text in memory; `file_name` is used in errors.
 [[nodiscard]] leaf::result<settings>
 parse_settings(std::string_view file_name, std::string_view text);
 
--- a/nutmegusher/node/settings_reader.hpp
+++ b/nutmegusher/node/settings_reader.hpp
@@ -1,4 +1,5 @@
-// Reads typed values out of an INI text and fails with the place of each.
+// Reads typed settings from a parsed INI text; errors carry the line of the
+// key.
 #ifndef NUTMEGUSHER_NODE_SETTINGS_READER_HPP
 #define NUTMEGUSHER_NODE_SETTINGS_READER_HPP
 
@@ -49,7 +50,7 @@
     return parts;
 }
 
-// Where each key stands; PropertyTree doesn't keep lines.
+// Maps sections and keys to line numbers, which PropertyTree doesn't keep.
 class line_index
 {
 public:
@@ -104,7 +105,8 @@
            std::all_of(text.begin(), text.end(), allowed);
 }
 
-// Reads typed values and fails with the place of each.
+// Reads typed values of keys. Each `result` fails with a `settings_error` that
+// names the file, line, section, key and value.
 class settings_reader
 {
 public:
@@ -234,7 +236,8 @@
         return parsed;
     }
 
-    // True for `true_text`, false for `false_text`.
+    // Returns true for `true_text`, false for `false_text`, and `default_value`
+    // if the key is absent.
     [[nodiscard]] leaf::result<bool> choice(
         const std::string& section,
         const std::string& key,
--- a/nutmegusher/node/settings_test.cpp
+++ b/nutmegusher/node/settings_test.cpp
@@ -25,7 +25,7 @@
 addresses = 127.0.0.1:7002, 127.0.0.2:7002
 )";
 
-// The error of a refused text.
+// Parses `text`, which must be rejected, and returns the error.
 settings_error error_of(const std::string& text)
 {
     settings_error seen;
