--- a/nutmegusher/node/http_server.cpp
+++ b/nutmegusher/node/http_server.cpp
@@ -31,12 +31,11 @@
 constexpr auto as_tuple_awaitable = asio::as_tuple(asio::use_awaitable);
 
 constexpr unsigned http_11 = 11;
-// For the rest of a head of which a part was read, when nothing else is waited
-// for any more.
+// Time left for the rest of a partly read head once the server has given up.
 constexpr duration final_head_timeout = std::chrono::milliseconds(50);
-// How long a caller may go on sending after its answer.
+// How long a caller may keep sending its body after the answer.
 constexpr duration linger_timeout = std::chrono::seconds(1);
-// Most requests fit in one read.
+// Read size for the first bytes of a request; most requests fit into it.
 constexpr std::size_t first_read_bytes = 1024;
 
 wire::request_head to_request_head(const http::request_header<>& from)
@@ -72,7 +71,7 @@
     message.keep_alive(keep_alive);
 }
 
-// True where nothing can be read any more from the peer.
+// Returns true if the peer has closed the connection or it has failed.
 bool peer_has_closed(tcp::socket& socket)
 {
     char probe = 0;
@@ -82,7 +81,8 @@
            (read_size < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-// The wait for the caller's disconnection; outlives the exchange.
+// Callback of the wait for a disconnect. The exchange owns it; the pending wait
+// holds a weak reference, as it may complete after the exchange is destroyed.
 struct disconnect_watch
 {
     std::function<void()> on_gone;
@@ -93,13 +93,13 @@
 namespace
 {
 
-// How far a server is on its way to the end.
+// Whether a server still takes requests.
 enum class intake_state : std::uint8_t
 {
     open,
     closing_after_answers,
     closed,
-    // Closed, and what is in work gets its final answer now.
+    // Closed, and requests in flight get their final answer at once.
     giving_up
 };
 
@@ -119,9 +119,9 @@
     http_handler handler;
     http_server_options options;
     intake_state intake = intake_state::open;
-    // Nothing of a request was read on these.
+    // Connections on which no byte of a request has been read.
     std::set<beast::tcp_stream*> idle_streams;
-    // A head is being read on these.
+    // Connections on which a request head is being read.
     std::set<beast::tcp_stream*> streams_reading_head;
     std::set<beast_exchange*> active_exchanges;
     std::size_t connections = 0;
@@ -162,7 +162,8 @@
 
     asio::awaitable<boost::system::error_code> read_head()
     {
-        // Most heads are here whole: no further turn of the loop for these.
+        // Most heads are already buffered completely; parsing them here saves a
+        // turn of the event loop.
         boost::system::error_code failed;
         const auto used = parser_.put(buffer_.data(), failed);
         buffer_.consume(used);
@@ -290,7 +291,8 @@
             co_return true;
         }
         auto& body = response_.body();
-        // Beast's buffer_body takes a mutable pointer but only reads here.
+        // Beast's buffer_body takes a mutable pointer but doesn't write to it
+        // when serializing.
         body.data = const_cast<std::byte*>(bytes.data());
         body.size = bytes.size();
         body.more = true;
@@ -362,19 +364,21 @@
         return std::exchange(give_up_callback_, nullptr);
     }
 
-    // The caller still sends what nobody will read.
+    // True if part of the request body hasn't been read.
     [[nodiscard]] bool has_unread_body() const
     {
         return !parser_.is_done();
     }
 
-    // No answer was begun, and none will be: the handler has returned.
+    // True if the server has given up and the handler, which must have
+    // returned, has begun no answer.
     [[nodiscard]] bool is_unanswered() const
     {
         return is_given_up() && !answer_begun_;
     }
 
-    // The whole answer was written and the connection can serve another.
+    // True if the answer was written completely and the connection can serve
+    // another request.
     [[nodiscard]] bool can_serve_next() const
     {
         return answer_finished_ && keeps_connection_;
@@ -428,7 +432,7 @@
         return intake_ == intake_state::giving_up;
     }
 
-    // The answer's head says whether the connection is kept.
+    // Prepares the answer's head, which says whether the connection is kept.
     void begin_head()
     {
         stop_watch();
@@ -480,7 +484,7 @@
     bool answer_finished_ = false;
 };
 
-// Counts a connection or a request for as long as it lives.
+// Increments a counter for the lifetime of this object.
 class scoped_count
 {
 public:
@@ -502,7 +506,7 @@
     std::size_t& counter_;
 };
 
-// Keeps an entry in a set for as long as it lives.
+// Keeps an entry in a set for the lifetime of this object.
 template <class Value>
 class scoped_entry
 {
@@ -527,7 +531,8 @@
     Value& value_;
 };
 
-// Waits for the first bytes of a request. False: none will come, or none may.
+// Waits for the first bytes of a request. Returns false if the connection has
+// failed or timed out, or if the server takes no more requests.
 template <class State>
 asio::awaitable<bool> wait_for_request(
     State& server, beast::tcp_stream& stream, beast::flat_buffer& buffer)
@@ -548,12 +553,12 @@
     co_return !failed;
 }
 
-// What becomes of a connection after a request.
+// What to do with a connection after a request.
 enum class after_request : std::uint8_t
 {
     keep_alive,
     close,
-    // Close, though the caller still sends.
+    // Close after reading and dropping what the caller still sends.
     linger
 };
 
@@ -607,7 +612,8 @@
                                          : after_request::close;
 }
 
-// Closing with unread bytes makes TCP drop what the caller hasn't received yet.
+// Reads and drops what the caller still sends: closing a socket with unread
+// bytes resets the connection, and the caller may lose the end of its answer.
 template <class State>
 asio::awaitable<void> linger(State& server, beast::tcp_stream& stream)
 {
@@ -657,7 +663,7 @@
         if (server->intake >= intake_state::closed ||
             server->connections >= server->options.connections)
         {
-            continue; // closes it
+            continue; // destroys the socket, which closes the connection
         }
         auto executor = server->acceptor.get_executor();
         auto stream = std::make_unique<beast::tcp_stream>(std::move(socket));
@@ -750,7 +756,8 @@
     {
         stream->cancel();
     }
-    // Collected first: an exchange may end while one of them is called.
+    // Collected first, as a callback may destroy an exchange and so change the
+    // set.
     std::vector<std::function<void()>> callbacks;
     for (auto* exchange : state_->active_exchanges)
     {
--- a/nutmegusher/node/http_server.hpp
+++ b/nutmegusher/node/http_server.hpp
@@ -1,9 +1,9 @@
-// HTTP/1.1 towards members, clerks, upstreams and operators, over Boost.Beast.
+// HTTP/1.1 server for members, clerks, upstreams and operators, on Boost.Beast.
 //
 // A server belongs to one io_context and is used from its thread only. The
-// handler gets one `caller_exchange` a request and either writes an answer or
-// leaves it; an exchange that isn't finished closes its connection, so that a
-// broken answer never looks whole.
+// handler gets one `caller_exchange` per request and may write an answer. If
+// the answer isn't finished when the handler returns, the connection is closed,
+// so that a truncated answer never looks complete.
 #ifndef NUTMEGUSHER_NODE_HTTP_SERVER_HPP
 #define NUTMEGUSHER_NODE_HTTP_SERVER_HPP
 
@@ -27,13 +27,13 @@
 
 namespace asio = boost::asio;
 
-// Why a caller's request can't be read to its end.
+// Why a request body can't be read completely.
 enum class caller_failure : std::uint8_t
 {
     disconnected,
     malformed,
     too_slow,
-    // The process ends: see `caller_exchange::on_give_up`.
+    // The process is stopping: see `caller_exchange::on_give_up`.
     given_up
 };
 
@@ -45,35 +45,39 @@
 
     [[nodiscard]] virtual const wire::request_head& head() const = 0;
 
-    // Where the caller connected from.
+    // The caller's address.
     [[nodiscard]] virtual asio::ip::tcp::endpoint caller() const = 0;
 
-    // The next bytes of the request's body; 0 at its clean end.
+    // Reads the next bytes of the request's body; 0 at its regular end.
     virtual asio::awaitable<outcome<std::size_t, caller_failure>>
     read_some(std::span<std::byte> into) = 0;
 
-    // Writes a whole answer. False: the caller has gone.
+    // Writes a complete answer. Returns false if the caller has disconnected.
     virtual asio::awaitable<bool>
     answer(wire::response_head head, std::string_view body) = 0;
 
-    // Starts an answer whose body follows; without `length` it is chunked.
+    // Writes the head of an answer whose body follows through `write_some` and
+    // `end_answer`. Without `length` the body uses chunked encoding. Returns
+    // false if the caller has disconnected.
     virtual asio::awaitable<bool> begin_answer(
         wire::response_head head, std::optional<std::uint64_t> length) = 0;
 
     virtual asio::awaitable<bool>
     write_some(std::span<const std::byte> bytes) = 0;
 
-    // The clean end of an answer that was begun.
+    // Completes an answer begun with `begin_answer`.
     virtual asio::awaitable<bool> end_answer() = 0;
 
     // Calls `on_gone` once if the caller closes its connection before the
-    // answer begins. Requires: the request's body was read to its end.
+    // answer begins.
+    // Requires: the request's body was read to its end.
     virtual void on_disconnect(std::function<void()> on_gone) = 0;
 
-    // Calls `callback` once if the process ends before the answer has begun:
-    // the handler must give its final answer at once. The last call counts; at
-    // once where that is so already. One that reads the body gets `given_up`
-    // from there.
+    // Calls `callback` once if the server gives up (see `http_server::give_up`)
+    // before the answer has begun, or at once if it has already given up. The
+    // handler must then write its final answer at once. A further call replaces
+    // the callback. A handler that is reading the body gets
+    // `caller_failure::given_up` from `read_some`.
     virtual void on_give_up(std::function<void()> callback) = 0;
 };
 
@@ -81,9 +85,12 @@
 
 struct http_server_options
 {
+    // Largest number of open connections; further ones are closed at once.
     std::uint32_t connections = 4096;
+    // Largest request head in bytes; a larger one is answered with 431.
     std::uint32_t header_bytes = 16384;
-    // A connection without a request for this long is closed.
+    // Closes a connection on which no request begins, or a begun request head
+    // isn't completed, within this time.
     duration idle_timeout = std::chrono::seconds(60);
     bool reuse_port = false;
 };
@@ -95,7 +102,7 @@
     boost::system::error_code code;
 };
 
-// Accepts connections and serves their requests one after the other.
+// Accepts connections and serves the requests of each one in sequence.
 class http_server
 {
 public:
@@ -112,24 +119,25 @@
 
     [[nodiscard]] asio::ip::tcp::endpoint local_endpoint() const;
 
-    // Each connection closes after its next answer; new ones are accepted.
+    // Closes each connection after its next answer; new connections are still
+    // accepted.
     void close_after_answers();
 
-    // From now on no connection brings a further request: none is accepted,
-    // and those on which nothing of a request was read are closed. A request
-    // that was read, in part or whole, is served; then its connection closes.
-    // Once `connections` is 0 it stays so.
+    // Stops taking requests: accepts no connection and closes those on which no
+    // byte of a request has been read. A request that was read, partly or
+    // completely, is served; then its connection closes. Once `connections` is
+    // 0 it stays 0.
     void close_intake();
 
-    // Has each request in work answered at once: see `on_give_up`. Closes the
-    // connections on which a head hasn't come whole.
+    // Makes handlers answer all requests in flight at once: see `on_give_up`.
+    // Closes the connections on which a request head is incomplete.
     // Requires: `close_intake` was called.
     void give_up();
 
-    // Open connections, each of which waits for a request or owes an answer.
+    // Number of open connections, idle or with a request in flight.
     [[nodiscard]] std::size_t connections() const;
 
-    // Requests that are being handled.
+    // Number of requests that are being handled.
     [[nodiscard]] std::size_t in_flight() const;
 
 private:
--- a/nutmegusher/node/http_server_test.cpp
+++ b/nutmegusher/node/http_server_test.cpp
@@ -33,7 +33,7 @@
     return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n\r\n";
 }
 
-// A caller with one connection; blocks.
+// Blocking client with one connection.
 class caller
 {
 public:
@@ -49,7 +49,7 @@
         asio::write(socket_, asio::buffer(text), ignored);
     }
 
-    // All that comes until the connection ends; empty: no answer.
+    // Reads until the connection ends; an empty text means no answer.
     std::string receive_all()
     {
         std::string text;
@@ -64,7 +64,7 @@
         return text;
     }
 
-    // One answer without a body.
+    // Reads one answer that has no body.
     std::string receive_head()
     {
         std::string text;
@@ -101,7 +101,7 @@
         thread.join();
     }
 
-    // Runs on the server's thread.
+    // Runs `action` on the server's thread and returns its result.
     template <class Action>
     auto run_on_server(Action action)
     {
@@ -169,7 +169,8 @@
             });
     }
 
-    // Answers after `answers_held` is false.
+    // Answers 200 once `answers_held` is false, or 503 when the server gives
+    // up.
     asio::awaitable<void> answer_when_released(caller_exchange& exchange)
     {
         ++handled;
@@ -207,7 +208,8 @@
     std::thread thread;
 };
 
-// Requests cross the close at every moment of its reading.
+// Requests arrive while the server closes, at every stage of reading. Each one
+// that reached the handler must be answered, and no other.
 TEST_F(http_server_end, a_request_that_was_read_has_an_answer)
 {
     std::mutex mutex;
@@ -259,7 +261,7 @@
         }));
 }
 
-// Half a head is a request that has begun to be read.
+// A request whose head was partly read before the close must still be served.
 TEST_F(http_server_end, a_head_that_has_begun_is_served)
 {
     serve_when_released();
@@ -331,8 +333,9 @@
     EXPECT_EQ(seen, caller_failure::given_up);
 }
 
-// A request that is read while the process gives up, at each moment of its
-// reading, ends too.
+// Guards against a request that is read while the server gives up and never
+// learns of it. The number of event-loop hops before the close varies, so that
+// it meets each stage of reading.
 TEST_F(http_server_end, a_head_that_comes_while_it_gives_up_is_answered)
 {
     answers_held = true;
@@ -367,8 +370,8 @@
             {
                 return connections() == 1;
             }));
-        // The bytes are there before the next look at the sockets; then the
-        // server closes and gives up so many handlers later.
+        // The request's bytes arrive before the event loop next polls its
+        // sockets; the server closes and gives up `hops` handlers later.
         std::function<void(int)> give_up_after_hops = [&](int left)
         {
             if (left > 0)
@@ -396,7 +399,8 @@
         {
             std::this_thread::sleep_for(milliseconds(1));
         }
-        EXPECT_EQ(connections(), 0U) << "owed, and never told to end";
+        EXPECT_EQ(connections(), 0U)
+            << "request in flight wasn't notified of give_up";
         answers_held = false;
         EXPECT_TRUE(wait_for(
             [this]
@@ -406,7 +410,8 @@
     }
 }
 
-// As `forward_try` does: it awaits a connection first.
+// A handler may call on_give_up only after the server has given up:
+// `forward_try` first waits for a connection.
 TEST_F(http_server_end, on_give_up_after_give_up_calls_back_at_once)
 {
     answers_held = true;
@@ -445,7 +450,8 @@
     EXPECT_TRUE(notified);
 }
 
-// A body whose reading begins after the giving up.
+// A handler that starts to read the body after the server has given up must not
+// wait for it.
 TEST_F(http_server_end, a_body_read_after_give_up_fails_at_once)
 {
     answers_held = true;
@@ -485,7 +491,8 @@
         }));
 }
 
-// The connection was closed with unread bytes, and TCP dropped the answer.
+// Guards against closing a connection with unread request bytes, which resets
+// it and loses the end of the answer.
 TEST_F(http_server_end, an_answer_before_the_body_was_read_arrives_whole)
 {
     const std::string large(1024 * 1024, 'x');
--- a/nutmegusher/node/json_messages.cpp
+++ b/nutmegusher/node/json_messages.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-// Reads the fields of one object and remembers its path for errors.
+// Reads typed fields of a JSON object; keeps the object's path for errors.
 class object_reader
 {
 public:
@@ -291,7 +291,7 @@
     for (const auto& item : from.classes())
     {
         auto class_json = to_json(item);
-        // What a change of this class is based on.
+        // The revision that a change of this class gives in `based_on`.
         class_json.get_object()["revision"] = item.revision();
         classes.push_back(std::move(class_json));
     }
--- a/nutmegusher/node/json_messages.hpp
+++ b/nutmegusher/node/json_messages.hpp
@@ -1,5 +1,5 @@
-// Operators' JSON and the messages behind it. What is wrong in a text is named
-// by field.
+// Converts between the JSON of the operator API and protobuf messages. Errors
+// name the invalid field.
 #ifndef NUTMEGUSHER_NODE_JSON_MESSAGES_HPP
 #define NUTMEGUSHER_NODE_JSON_MESSAGES_HPP
 
@@ -28,7 +28,7 @@
     out_of_range
 };
 
-// Why a JSON text is refused. `field` is a path such as "declare.target".
+// Why a JSON text is rejected. `field` is a path such as "declare.target".
 struct json_error
 {
     json_problem problem = json_problem::not_json;
@@ -37,9 +37,10 @@
 
 [[nodiscard]] std::string_view to_string(json_problem problem);
 
-// {"error": {"problem": ..., "field": ...}}
+// Returns {"error": {"problem": ..., "field": ...}}.
 [[nodiscard]] json::value to_json(const json_error& error);
 
+// Parses the JSON of a configuration change.
 // Errors: `json_error`.
 [[nodiscard]] leaf::result<messages::change>
 parse_change(std::string_view text);
--- a/nutmegusher/node/metrics.cpp
+++ b/nutmegusher/node/metrics.cpp
@@ -16,13 +16,13 @@
 namespace bh = boost::histogram;
 namespace json = boost::json;
 
-// Latencies from 50 µs to 60 s, about 12 bins for each factor of ten.
+// Logarithmic latency bins from 50 µs to 60 s, about 12 per decade.
 constexpr unsigned latency_bins = 73;
 constexpr double min_latency_ms = 0.05;
 constexpr double max_latency_ms = 60000.0;
-// Classes of one shard and side that are counted by name; the rest are counted
-// together. A class takes 700 bytes, and its name may change with each change
-// of the configuration.
+// Limit of separately counted entries (a class and a side) in one shard; the
+// rest are counted together as "other". A class takes 700 bytes, and without a
+// limit each change of the configuration could add new names.
 constexpr std::size_t max_named_classes = 128;
 constexpr std::array quantiles{0.5, 0.9, 0.99, 0.999};
 
@@ -46,7 +46,7 @@
 
 using class_key = std::pair<class_name, call_side>;
 
-// The upper edge of the bin that holds the quantile.
+// Returns the upper edge, in ms, of the bin that contains the quantile.
 double quantile_of(const latency_histogram& histogram, double quantile)
 {
     const auto total = bh::algorithm::sum(histogram);
--- a/nutmegusher/node/metrics.hpp
+++ b/nutmegusher/node/metrics.hpp
@@ -1,4 +1,5 @@
-// Counts and times of one daemon, by class. Safe from every thread.
+// Request counters and latency histograms of one daemon, per class.
+// Thread-safe.
 #ifndef NUTMEGUSHER_NODE_METRICS_HPP
 #define NUTMEGUSHER_NODE_METRICS_HPP
 
@@ -16,11 +17,11 @@
 namespace nutmegusher::node
 {
 
-// Where in this process a call was seen.
+// The side of the daemon on which a call is counted.
 enum class call_side : std::uint8_t
 {
-    entry,   // from a member, a clerk or the own upstream
-    upstream // for the own upstream
+    entry,   // from a member, a clerk or the upstream on this host
+    upstream // to the upstream on this host
 };
 
 class metrics
@@ -31,14 +32,14 @@
     metrics& operator=(const metrics&) = delete;
     ~metrics();
 
-    // A whole answer. `tries`: how many it took at this hop.
+    // Counts a call with a complete answer after `tries` tries at this hop.
     void completed(
         call_side side,
         const class_name& name,
         duration latency,
         std::uint32_t tries);
 
-    // A call that was given up on.
+    // Counts a call that was refused or given up on.
     void refused(
         call_side side,
         const class_name& name,
@@ -46,14 +47,15 @@
         call_outcome result,
         std::uint32_t tries);
 
-    // The usual text exposition format.
+    // All metrics in the Prometheus text exposition format.
     [[nodiscard]] std::string exposition() const;
 
     [[nodiscard]] boost::json::value dump() const;
 
 private:
     struct shard;
-    // Classes are spread over the shards, each with a lock of its own.
+    // Classes are distributed over shards with a mutex each, to reduce lock
+    // contention.
     static constexpr std::size_t shard_count = 8;
 
     shard& shard_of(const class_name& name) const;
--- a/nutmegusher/node/operator_api.cpp
+++ b/nutmegusher/node/operator_api.cpp
@@ -23,7 +23,7 @@
 
 constexpr std::size_t chunk_bytes = 16384;
 constexpr std::size_t max_body_bytes = 1024 * 1024;
-// For one change: a new leader is elected within it.
+// Time limit for proposing one change; long enough to elect a new leader.
 constexpr duration change_timeout = std::chrono::seconds(4);
 constexpr duration retry_delay = std::chrono::milliseconds(50);
 
@@ -59,7 +59,8 @@
     co_return std::nullopt;
 }
 
-// One try at each control host, until one judges the change.
+// Tries each control host in turn, repeatedly, until one returns a verdict on
+// the change or the timeout expires.
 asio::awaitable<messages::change_result>
 propose_change(worker& current_worker, const messages::change& change)
 {
--- a/nutmegusher/node/operator_api.hpp
+++ b/nutmegusher/node/operator_api.hpp
@@ -1,4 +1,4 @@
-// What operators ask of a process over HTTP; `docs/INTERFACE.md` lists it.
+// The HTTP API for operators; `docs/INTERFACE.md` lists its resources.
 #ifndef NUTMEGUSHER_NODE_OPERATOR_API_HPP
 #define NUTMEGUSHER_NODE_OPERATOR_API_HPP
 
@@ -17,28 +17,34 @@
 namespace nutmegusher::node
 {
 
-// A control host's own answers; empty functions on a plain daemon.
+// What a control host does for the operator API. The functions are empty on a
+// daemon that isn't a control host.
 struct control_callbacks
 {
-    // Judged by a majority; `change_unavailable` where that isn't known.
+    // Submits a change to the quorum and returns its verdict, or
+    // `change_unavailable` if the verdict isn't known.
     std::function<asio::awaitable<messages::change_result>(messages::change)>
         propose;
-    // What is in force, confirmed by a majority; nothing where none answers.
+    // The configuration in force, confirmed by a quorum; nothing if no quorum
+    // answers.
     std::function<asio::awaitable<std::optional<messages::configuration>>()>
         read;
 
     std::function<boost::json::value()> state;
     std::function<boost::json::value()> history;
     std::function<boost::json::value()> rollout;
-    // Body of `POST /v1/control/replace`; the answer's status and body.
+    // Handles the body of `POST /v1/control/replace`; returns the status and
+    // body of the answer.
     std::function<asio::awaitable<std::pair<unsigned, boost::json::value>>(
         std::string body)>
         replace;
-    // See `crash_watch`; of all services.
+    // The quarantined requests of all services; see `crash_watch`.
     std::function<std::vector<crash_record>()> quarantined;
+    // Releases a request from quarantine; false if the digest is unknown.
     std::function<bool(std::uint64_t digest)> release;
 };
 
+// What the process does for the operator API.
 struct operator_callbacks
 {
     std::function<boost::json::value()> sync;
@@ -46,11 +52,11 @@
     control_callbacks control;
 };
 
-// Serves one request of whoever collects metrics; all others get 404.
+// Serves `GET /metrics`; other requests get 404.
 asio::awaitable<void>
 serve_metrics(worker& current_worker, caller_exchange& exchange);
 
-// Serves one request of an operator. Runs on the worker `current_worker`.
+// Serves one request of an operator. Runs on the thread of `current_worker`.
 asio::awaitable<void> serve_operator(
     worker& current_worker,
     const operator_callbacks& callbacks,
