--- a/nutmegusher/node/daemon.cpp
+++ b/nutmegusher/node/daemon.cpp
@@ -22,10 +22,11 @@
 namespace
 {
 
-// Waiting calls expire and stalls are noticed at this grain; well below the
-// shortest target of a class (tens of milliseconds).
+// Resolution at which queued calls expire and stalls are detected; well below
+// the shortest latency target of a class (tens of milliseconds).
 constexpr duration tick_interval = std::chrono::milliseconds(2);
-// The same while nothing runs or waits: 50 wake-ups a second in place of 500.
+// Tick interval while no call runs or waits: 50 wake-ups a second instead of
+// 500.
 constexpr duration idle_tick_interval = std::chrono::milliseconds(20);
 constexpr duration upstream_check_interval = std::chrono::milliseconds(500);
 constexpr std::size_t max_announcement_bytes = 4096;
@@ -64,7 +65,8 @@
 
 leaf::result<void> daemon::state::open()
 {
-    // Before anything is read: a signal that comes meanwhile is a stop, too.
+    // Installed before any storage is read, so that a signal during the start
+    // also begins a graceful shutdown.
     signals.emplace(first().context, SIGTERM, SIGINT);
     if (shared.configured.control)
     {
@@ -400,7 +402,8 @@
         threads.emplace_back(
             [&context]
             {
-                // A stop counts here after the last listener has closed.
+                // Keeps the context running after its listeners have closed:
+                // the shutdown still counts open connections on it.
                 const auto work = asio::make_work_guard(context);
                 context.run();
             });
--- a/nutmegusher/node/daemon.hpp
+++ b/nutmegusher/node/daemon.hpp
@@ -1,4 +1,4 @@
-// The whole of one process: its controllers, worker threads and listeners.
+// One daemon process: its controllers, worker threads and listeners.
 //
 //     BOOST_LEAF_AUTO(process, daemon::start(settings));
 //     process->run(); // until SIGTERM, SIGINT or an operator's drain
@@ -14,14 +14,15 @@
 namespace nutmegusher::node
 {
 
+// Owns all parts of the process. `start` creates it, `run` serves.
 class daemon
 {
 public:
-    // Opens all listeners; nothing is started where one can't be opened.
-    // Errors: `listen_error`, `wire::listen_failure`, and of a control host's
-    // storage.
-    // `optional_extension` takes requests before the process's own path does;
-    // null: nothing.
+    // Opens all listeners; if one can't be opened, nothing is started.
+    // `optional_extension` is offered each request before the daemon's own
+    // handlers; null for none.
+    // Errors: `listen_error`, `wire::listen_failure`, and on a control host the
+    // errors of its storage.
     [[nodiscard]] static leaf::result<std::unique_ptr<daemon>> start(
         const settings& from,
         std::unique_ptr<extension> optional_extension = nullptr);
@@ -30,10 +31,10 @@
     daemon& operator=(const daemon&) = delete;
     ~daemon();
 
-    // Serves until a graceful shutdown has ended.
+    // Serves requests; returns when a graceful shutdown has finished.
     void run();
 
-    // Begins a graceful shutdown; safe from every thread.
+    // Begins a graceful shutdown. Thread-safe.
     void stop();
 
 private:
--- a/nutmegusher/node/daemon_state.hpp
+++ b/nutmegusher/node/daemon_state.hpp
@@ -1,4 +1,4 @@
-// What one process consists of; shared by the files that implement `daemon`.
+// The state of one daemon process, shared by the files that implement `daemon`.
 #ifndef NUTMEGUSHER_NODE_DAEMON_STATE_HPP
 #define NUTMEGUSHER_NODE_DAEMON_STATE_HPP
 
@@ -59,7 +59,8 @@
         shared.crashes.on_news = shared.sync_soon;
     }
 
-    // The worker that also does what is done once a process.
+    // The worker that also runs the tasks that exist once per process: signals,
+    // ticks, sync and the operators' listener.
     worker& first()
     {
         return *workers.front();
@@ -86,9 +87,9 @@
     asio::awaitable<void> watch_upstream();
     asio::awaitable<void> wait_for_signal();
 
-    // daemon_stop.cpp.
+    // Defined in daemon_stop.cpp.
     asio::awaitable<void> shut_down();
-    // Closes the sources of work that the step is about.
+    // Closes the sources of requests that belong to `step`.
     asio::awaitable<void> enter_step(stop_step step);
     asio::awaitable<void> close_callers();
     asio::awaitable<void> close_peers();
--- a/nutmegusher/node/daemon_stop.cpp
+++ b/nutmegusher/node/daemon_stop.cpp
@@ -1,4 +1,5 @@
-// The graceful stop of a process: `stop_sequence` says when, this file does it.
+// Carries out the graceful shutdown of a process; `stop_sequence` decides when
+// each step begins.
 #include "nutmegusher/node/daemon_state.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -12,21 +13,21 @@
 namespace
 {
 
-// While connections are accepted, other daemons' calls still run on the
-// upstream for this part of the time, so that a restart takes it out for less;
-// the rest is for calls that it works on to end.
+// The upstream still takes other daemons' calls for this fraction of the time
+// in which connections are accepted, which shortens its absence during a
+// restart; the rest of that time is for its calls in flight to finish.
 constexpr int leave_delay_numerator = 3;
 constexpr int leave_delay_denominator = 5;
-// Others hear within this that the upstream takes no more calls, and callers
-// that the process stops.
+// Within this time the other daemons learn that the upstream takes no more
+// calls, and callers learn that the process stops.
 constexpr duration leave_propagation_time = std::chrono::milliseconds(500);
-// What is left of the limit when requests are given up: their answers take a
-// moment to be written.
+// Time reserved at the end of the shutdown limit for writing the final answers
+// of requests that are given up.
 constexpr duration max_closing_time = std::chrono::milliseconds(1300);
 constexpr int closing_divisor = 15;
 
-// `sub_calls_use_callers_listener`: the own upstream's come in at the callers'
-// listener.
+// `sub_calls_use_callers_listener`: the upstream on this host sends its
+// sub-calls to the callers' listener.
 stop_times make_stop_times(
     const shutdown_settings& from, bool sub_calls_use_callers_listener)
 {
@@ -117,7 +118,9 @@
     }
     log_event(event::process_stopping, {});
     const auto& configured = shared.configured;
-    // Streams of other control hosts are no calls, and seldom none.
+    // On a control host the count of open peer streams includes those of other
+    // control hosts. They aren't calls and are almost always present, so
+    // waiting until there are none would nearly always run into the deadline.
     const bool sub_calls_use_callers_listener =
         optional_extension && configured.listen.callers && !control;
     auto stop = stop_sequence::begin(
@@ -168,8 +171,8 @@
         co_await close_callers();
         if (control)
         {
-            // Before anything is waited for, so that a slow operator doesn't
-            // hold it up.
+            // Hands over leadership before waiting for open connections, so
+            // that a slow operator connection doesn't delay it.
             co_await control->hand_over();
         }
         break;
@@ -198,7 +201,8 @@
          {"upstream", std::uint64_t{open.upstream}}});
 }
 
-// Callers that have not yet heard of the stop found a listener until now.
+// Until this step, callers that didn't know of the shutdown could still
+// connect.
 asio::awaitable<void> daemon::state::close_callers()
 {
     co_await run_on_each_worker(close_callers_of);
@@ -237,7 +241,7 @@
     }
 }
 
-// Each worker's listeners are used on its own thread.
+// Listeners aren't thread-safe: `action` runs on the thread of each worker.
 asio::awaitable<void>
 daemon::state::run_on_each_worker(void (*action)(listeners&))
 {
--- a/nutmegusher/node/extension.hpp
+++ b/nutmegusher/node/extension.hpp
@@ -1,5 +1,5 @@
-// What is added to a process beside the path of its classes: another path for
-// requests, other names and formats on its listeners.
+// Interface for adding a second request path to a daemon, with other names and
+// formats on the daemon's listeners, beside its own path for classes of work.
 #ifndef NUTMEGUSHER_NODE_EXTENSION_HPP
 #define NUTMEGUSHER_NODE_EXTENSION_HPP
 
@@ -17,19 +17,20 @@
 namespace nutmegusher::node
 {
 
-// What an extension may use of its process.
+// What the process offers to an extension.
 struct extension_context
 {
     controllers& shared;
     // Announces the upstream on this host to all other daemons.
     std::function<void(const announcement&)> announce;
-    // The replicated logs; empty functions where the process is no control
-    // host.
+    // Access to the replicated logs; the functions are empty if the process
+    // isn't a control host.
     const control_callbacks& control;
 };
 
-// Its functions run on the worker that is given; each answers `false` where
-// the request is none of its own, and then nothing of it was read.
+// Each `serve_` function runs on the thread of the given worker. It returns
+// `false` if the request isn't one of the extension's; it must not have read
+// any of the request's body then.
 class extension
 {
 public:
@@ -41,27 +42,28 @@
     // Called once, before any listener is opened.
     virtual void attach(const extension_context& context) = 0;
 
-    // A request on the listener for members and clerks.
+    // Serves a request on the listener for members and clerks.
     virtual asio::awaitable<bool>
     serve_caller(worker& current_worker, caller_exchange& exchange) = 0;
 
-    // A request of the upstream on this host.
+    // Serves a request sent by the upstream on this host.
     virtual asio::awaitable<bool>
     serve_upstream(worker& current_worker, caller_exchange& exchange) = 0;
 
-    // A request on the operators' listener.
+    // Serves a request on the operators' listener.
     virtual asio::awaitable<bool>
     serve_operator(worker& current_worker, caller_exchange& exchange) = 0;
 
-    // A stream of another daemon.
+    // Serves a stream opened by another daemon.
     virtual asio::awaitable<bool> serve_peer(
         worker& current_worker,
         std::shared_ptr<wire::server_stream> stream) = 0;
 
-    // A graceful shutdown has begun.
+    // Called when the upstream on this host is to take no more calls, during a
+    // graceful shutdown.
     virtual void leave() = 0;
 
-    // Calls that the own upstream works on; safe from every thread.
+    // Number of calls that the upstream on this host is serving. Thread-safe.
     [[nodiscard]] virtual std::size_t calls_in_flight() const = 0;
 };
 
--- a/nutmegusher/node/stop_sequence.cpp
+++ b/nutmegusher/node/stop_sequence.cpp
@@ -131,7 +131,8 @@
     return true;
 }
 
-// Idle sessions wait for their peers, which may be silent.
+// Idle sessions wait for their peers to confirm the end, up to a timeout, as a
+// peer may be unresponsive.
 bool stop_sequence::are_peers_done(time_point now, const open_counts& open)
 {
     if (open.peer_calls > 0)
--- a/nutmegusher/node/stop_sequence.hpp
+++ b/nutmegusher/node/stop_sequence.hpp
@@ -1,18 +1,20 @@
-// The order in which a process ends, and when each step may follow.
+// The order of the steps of a graceful shutdown, and when each step may begin.
 //
-// A step first closes where work comes from, and is left only once nothing of
-// that kind is open or owed any more. What is closed stays closed, so a count
-// of zero that was taken after the closing holds until the end: no request can
-// come between the last look and the end of the process.
+// On entering a step the process closes the step's sources of requests
+// (listeners and connections). It leaves the step only when no connection of
+// that kind is open and no answer is outstanding. Closed sources stay closed,
+// so a count of zero taken after the closing stays zero: no request can arrive
+// between the last check and the end of the process.
 //
 //     auto stop = stop_sequence::begin(times, now);
 //     while (stop.step() != stop_step::ended)
 //     {
-//         enter(stop.step());                  // closes the step's sources
+//         enter_step(stop.step());             // closes the step's sources
 //         stop.advance(clock.now(), count());  // counted after that
 //     }
 //
-// It reads no clock and opens nothing.
+// The class reads no clock and does no I/O; the caller passes in time and
+// counts.
 #ifndef NUTMEGUSHER_NODE_STOP_SEQUENCE_HPP
 #define NUTMEGUSHER_NODE_STOP_SEQUENCE_HPP
 
@@ -25,33 +27,40 @@
 namespace nutmegusher::node
 {
 
+// The steps, in order.
 enum class stop_step : std::uint8_t
 {
-    // Everything is served; callers' connections close after their answers.
+    // All requests are served; each caller's connection closes after its next
+    // answer.
     announced,
-    // The upstream takes no new calls of other daemons.
+    // The upstream on this host leaves the routes of other daemons, which stop
+    // sending it calls.
     leaving,
-    // Callers are refused. Calls that the upstream works on may still bring
-    // sub-calls, which come in like callers' requests.
+    // New requests of callers are refused. Calls that the upstream is serving
+    // may still send sub-calls, which arrive on the callers' listener.
     finishing_calls,
-    // No caller or operator brings a further request; each is answered.
+    // No further request of a caller or operator is read; those already read
+    // are answered.
     closing_callers,
-    // Daemons are told to bring no further call; each is answered.
+    // Other daemons are told to send no further call; calls already received
+    // are answered.
     closing_peers,
-    // Sessions of daemons that haven't confirmed that are ended: what these
+    // Sessions of daemons that haven't confirmed this are ended. What they
     // still send isn't read, and they are told so.
     ending_sessions,
-    // The own upstream brings no further request; each is answered.
+    // No further request of the upstream on this host is read; those already
+    // read are answered.
     closing_upstream,
-    // The limit has come: everything is closed, and what is still owed is
-    // answered at once.
+    // The time limit has been reached: everything is closed, and outstanding
+    // requests get their final answer at once.
     giving_up,
     ended
 };
 
 [[nodiscard]] std::string_view to_string(stop_step step);
 
-// From the beginning of the stop; each is at least the one before.
+// Times since the start of the shutdown.
+// Requires: the times up to `end_after` don't decrease.
 struct stop_times
 {
     duration leave_after{0};
@@ -60,23 +69,23 @@
     duration close_callers_deadline{0};
     duration give_up_after{0};
     duration end_after{0};
-    // How long an idle session may take to confirm its end before
-    // `ending_sessions`.
+    // How long peers with idle sessions have to confirm their end before
+    // `ending_sessions`. A duration, not a time since the start.
     duration session_close_timeout{0};
 };
 
-// What is open or owed, over all threads.
+// Open connections and outstanding calls, summed over all threads.
 struct open_counts
 {
     // Connections of callers, operators and collectors of metrics.
     std::size_t callers = 0;
-    // Calls of other daemons that are in work.
+    // Calls of other daemons in flight.
     std::size_t peer_calls = 0;
-    // Calls that the own upstream works on, whoever made them.
+    // Calls that the upstream on this host is serving, of any caller.
     std::size_t upstream_calls = 0;
     // Sessions of other daemons.
     std::size_t peer_sessions = 0;
-    // Connections of the own upstream.
+    // Connections of the upstream on this host.
     std::size_t upstream = 0;
 
     [[nodiscard]] bool is_empty() const
@@ -85,6 +94,7 @@
     }
 };
 
+// State machine of the shutdown; see the head of this file.
 class stop_sequence
 {
 public:
@@ -95,15 +105,16 @@
         return step_;
     }
 
-    // Leaves the step where it is done, for the next one only.
+    // Moves on by one step if the current step is done, or to `giving_up` when
+    // the time limit has been reached.
     // Requires: the step's sources were closed before `now`, and `open` was
     // counted after that.
     void advance(time_point now, const open_counts& open);
 
-    // When to count again.
+    // When to count open connections again.
     [[nodiscard]] time_point next_check(time_point now) const;
 
-    // Something that was owed is given up at the limit.
+    // True if the time limit was reached before all requests were answered.
     [[nodiscard]] bool has_given_up() const
     {
         return has_given_up_;
@@ -119,7 +130,8 @@
     time_point started_at_;
     stop_step step_ = stop_step::announced;
     bool has_given_up_ = false;
-    // Since when no call of other daemons is in work, in `closing_peers`.
+    // Since when no call of other daemons has been in flight, in
+    // `closing_peers`.
     time_point no_calls_since_ = time_point::max();
 };
 
--- a/nutmegusher/node/stop_sequence_test.cpp
+++ b/nutmegusher/node/stop_sequence_test.cpp
@@ -28,14 +28,14 @@
     return times;
 }
 
-// One kind of connections: each is idle or owes an answer.
+// Simulates one kind of connection; each is idle or has a request in flight.
 struct simulated_source
 {
     std::size_t idle = 0;
-    // When each request in work has its answer.
+    // When each request in flight gets its answer.
     std::vector<time_point> answer_times;
     bool is_closed = false;
-    // Requests that were read, and those that have their answers.
+    // Total requests that were read, and total requests that were answered.
     std::size_t received = 0;
     std::size_t answered = 0;
 
@@ -44,8 +44,8 @@
         return idle + answer_times.size();
     }
 
-    // A request on a kept connection, or on a new one. Not read where the
-    // source is closed: there is no idle connection, and none is accepted.
+    // Receives a request on an idle or a new connection. A closed source reads
+    // nothing: it has no idle connection and accepts none.
     void add_request(time_point answer_at)
     {
         if (is_closed)
@@ -71,7 +71,7 @@
         }
     }
 
-    // Returns how many requests have ended by now.
+    // Answers the requests that are due; returns how many.
     std::size_t run(time_point now)
     {
         const auto ended = std::erase_if(
@@ -86,8 +86,8 @@
     }
 };
 
-// A process with callers, other daemons and an upstream that all keep
-// bringing requests until they can't.
+// Simulates a process whose callers, peers and upstream keep sending requests
+// until their connections are closed.
 class simulated_process
 {
 public:
@@ -118,7 +118,7 @@
                         entered == stop_step::ended || entered < stop_.step());
                     entered = stop_.step();
                     enter(entered);
-                    // What comes between the closing and the count.
+                    // Requests that arrive between the closing and the count.
                     add_requests();
                 }
                 stop_.advance(now_, count_open());
@@ -160,7 +160,7 @@
                 each->add_request(answer_time());
             }
         }
-        // Sub-calls come while the upstream works for somebody.
+        // The upstream sends sub-calls only while it serves a call.
         const bool is_working =
             !callers_.answer_times.empty() || !peers_.answer_times.empty();
         if (is_working && uniform_unit(random_) < rate_)
@@ -276,7 +276,8 @@
     EXPECT_FALSE(callers.has_given_up());
 }
 
-// The upstream's sub-calls found no listener while it worked for others.
+// Guards against closing the callers' listener while the upstream still serves
+// calls of other daemons: its sub-calls then couldn't connect.
 TEST(stop_sequence, keeps_callers_open_while_calls_may_bring_sub_calls)
 {
     auto stop = at_step(stop_step::finishing_calls);
@@ -308,7 +309,8 @@
     EXPECT_EQ(stop.step(), stop_step::ending_sessions);
 }
 
-// A peer that hadn't confirmed the end brought a call after the last count.
+// Guards against ending with an open session: a peer that hadn't confirmed the
+// end could send a call after the last count.
 TEST(stop_sequence, ends_with_no_session_that_may_bring_a_call)
 {
     auto stop = at_step(stop_step::closing_peers);
@@ -323,7 +325,8 @@
     EXPECT_EQ(stop.step(), stop_step::closing_upstream);
 }
 
-// One that may not be repeated runs on so that its outcome becomes known.
+// A call that may not be repeated continues without its session, so that its
+// outcome becomes known; the shutdown has to wait for it.
 TEST(stop_sequence, waits_for_a_call_whose_session_is_gone)
 {
     auto stop = at_step(stop_step::closing_peers);
--- a/nutmegusher/node/test_deployment.cpp
+++ b/nutmegusher/node/test_deployment.cpp
@@ -29,13 +29,13 @@
     return result;
 }
 
-// The value, or an exception that ends the test.
+// Returns the value, or throws to fail the test.
 template <class T>
 T value_or_throw(leaf::result<T> result)
 {
     if (!result)
     {
-        throw std::runtime_error("a listener can't be opened");
+        throw std::runtime_error("failed to open a listener");
     }
     return std::move(*result);
 }
--- a/nutmegusher/node/test_deployment.hpp
+++ b/nutmegusher/node/test_deployment.hpp
@@ -1,5 +1,6 @@
-// Two daemons' chains, a fake upstream and a fake claim log, in one process on
-// loopback. For the tests of this package.
+// Parts of a deployment for the tests of this package, in one process on
+// loopback: nodes with the filter chains of a daemon, fake upstreams and a fake
+// claim log.
 #ifndef NUTMEGUSHER_NODE_TEST_DEPLOYMENT_HPP
 #define NUTMEGUSHER_NODE_TEST_DEPLOYMENT_HPP
 
@@ -18,13 +19,13 @@
 namespace nutmegusher::node::test
 {
 
-// What a client got.
+// The answer that a client received.
 struct client_answer
 {
     unsigned status = 0;
     wire::headers fields;
     std::string body;
-    // False: the connection ended before the answer's clean end.
+    // False if the connection closed before the answer was complete.
     bool is_complete = false;
 
     [[nodiscard]] std::string field(std::string_view name) const
@@ -33,7 +34,7 @@
     }
 };
 
-// One process's part: its controllers and one worker on a thread.
+// One daemon: its controllers, and one worker on a thread of its own.
 class test_node
 {
 public:
@@ -42,14 +43,14 @@
     test_node& operator=(const test_node&) = delete;
     ~test_node();
 
-    // Begins to serve peers, callers and the own upstream.
+    // Starts serving peers, callers and the upstream on this host.
     void start();
 
     [[nodiscard]] endpoint peers() const;
     [[nodiscard]] endpoint callers() const;
     [[nodiscard]] endpoint upstream_side() const;
 
-    // Cuts all connections from daemons.
+    // Closes all connections from other daemons.
     void close_peer_connections();
 
     controllers shared;
@@ -62,7 +63,7 @@
     std::thread thread_;
 };
 
-// Serves HTTP/1.1 with a handler that the test gives.
+// Serves HTTP/1.1 with a handler supplied by the test.
 class fake_upstream
 {
 public:
@@ -79,7 +80,8 @@
     std::thread thread_;
 };
 
-// Answers "/control/claim" from one claim table.
+// Serves "/control/claim" from one in-memory claim table. Answers 503 while
+// `is_available` is false.
 class fake_claim_log
 {
 public:
@@ -101,7 +103,8 @@
     std::thread thread_;
 };
 
-// Declares classes and routes at a node, as a sync would.
+// Declare a class and set the routes of a service on a node, as a sync with the
+// control hosts would.
 void declare(test_node& node, const messages::work_class& declared);
 void route_to(
     test_node& node,
@@ -111,7 +114,7 @@
 [[nodiscard]] messages::work_class make_class(
     const std::string& name, const std::string& service, bool repeatable);
 
-// One request on a connection of its own; at most ten seconds.
+// Sends one request on a new connection, with a timeout of ten seconds.
 [[nodiscard]] client_answer request(
     const endpoint& at,
     const std::string& method,
