--- a/nutmegusher/node/daemon_stop.cpp
+++ b/nutmegusher/node/daemon_stop.cpp
@@ -65,7 +65,7 @@
 
 void end_sessions_of(listeners& own)
 {
-    own.peers->end_sessions();
+    own.peers->close_unconfirmed_sessions();
 }
 
 void close_upstream_of(listeners& own)
--- a/nutmegusher/routed/peer_exchange.cpp
+++ b/nutmegusher/routed/peer_exchange.cpp
@@ -115,7 +115,7 @@
             co_return not_sent();
         }
         const bool needs_confirmation =
-            !call_.metadata.repeatable || worker_.peers.has_lost_lately();
+            !call_.metadata.repeatable || worker_.peers.had_recent_loss();
         if (needs_confirmation && !co_await confirm_reachable(**session))
         {
             co_return not_sent();
--- a/nutmegusher/wire/call.cpp
+++ b/nutmegusher/wire/call.cpp
@@ -8,14 +8,14 @@
 {
 
 constexpr unsigned status_ok = 200;
-constexpr std::size_t read_step = 16 * 1024;
+constexpr std::size_t read_chunk_bytes = 16 * 1024;
 
 // The first part of the body is small in most calls.
 boost::asio::awaitable<outcome<std::string, stream_failure>>
 read_body(client_stream& stream)
 {
     std::string body;
-    std::array<std::byte, read_step> part;
+    std::array<std::byte, read_chunk_bytes> part;
     for (;;)
     {
         const auto count = co_await stream.read_some(part);
@@ -27,7 +27,7 @@
         {
             co_return body;
         }
-        if (body.size() + *count > max_call_answer)
+        if (body.size() + *count > max_call_answer_bytes)
         {
             co_return stream_failure::too_large;
         }
--- a/nutmegusher/wire/call.hpp
+++ b/nutmegusher/wire/call.hpp
@@ -11,7 +11,7 @@
 {
 
 // The largest answer that `call` takes.
-inline constexpr std::size_t max_call_answer = 64 * 1024 * 1024;
+inline constexpr std::size_t max_call_answer_bytes = 64 * 1024 * 1024;
 
 // Sends POST `path` with `body` (an encoded protobuf message) and gives back
 // the whole body of the answer. `path` and `body` must stay valid until it
--- a/nutmegusher/wire/client_session.cpp
+++ b/nutmegusher/wire/client_session.cpp
@@ -17,41 +17,43 @@
     boost::asio::ip::tcp::endpoint peer,
     session_options options)
 {
-    const auto made = std::make_shared<internal::connection>(
+    const auto new_connection = std::make_shared<internal::connection>(
         context,
         internal::tcp_socket(context),
         internal::side::client,
         options);
     // Closes the connection where this coroutine is cancelled.
-    auto session = std::make_shared<client_session>(made);
+    auto session = std::make_shared<client_session>(new_connection);
     const auto begin = std::chrono::steady_clock::now();
-    made->limit_handshake(
-        std::min(options.reach_timeout, options.connect_timeout));
+    new_connection->set_handshake_timeout(
+        std::min(options.tcp_connect_timeout, options.connect_timeout));
     const auto token = boost::asio::as_tuple(boost::asio::use_awaitable);
-    const auto [error] = co_await made->socket().async_connect(peer, token);
-    if (made->closed())
+    const auto [error] =
+        co_await new_connection->socket().async_connect(peer, token);
+    if (new_connection->closed())
     {
-        co_return made->failure();
+        co_return new_connection->failure();
     }
     if (error)
     {
-        made->lose(stream_failure::not_connected);
+        new_connection->close(stream_failure::not_connected);
         co_return stream_failure::not_connected;
     }
     const auto spent = std::chrono::steady_clock::now() - begin;
-    made->limit_handshake(options.connect_timeout - spent);
-    made->start();
-    while (!made->ready() && !made->closed())
+    new_connection->set_handshake_timeout(options.connect_timeout - spent);
+    new_connection->start();
+    while (!new_connection->ready() && !new_connection->closed())
     {
-        const bool notified = co_await made->opened().wait();
+        const bool notified = co_await new_connection->ready_or_closed().wait();
         if (!notified)
         {
             co_return stream_failure::cancelled;
         }
     }
-    if (!made->ready())
+    if (!new_connection->ready())
     {
-        const bool timed_out = made->failure() == stream_failure::timed_out;
+        const bool timed_out =
+            new_connection->failure() == stream_failure::timed_out;
         co_return timed_out ? stream_failure::timed_out
                             : stream_failure::not_connected;
     }
@@ -67,11 +69,11 @@
 {
     if (connection_->ready())
     {
-        connection_->release();
+        connection_->close_when_idle();
     }
     else
     {
-        connection_->lose(stream_failure::cancelled);
+        connection_->close(stream_failure::cancelled);
     }
 }
 
@@ -108,14 +110,14 @@
 
 void client_session::close()
 {
-    connection_->lose(stream_failure::cancelled);
+    connection_->close(stream_failure::cancelled);
 }
 
 void client_session::on_closed(std::function<void()> closed)
 {
-    internal::connection_hooks hooks;
-    hooks.closed = std::move(closed);
-    connection_->set_hooks(std::move(hooks));
+    internal::connection_callbacks callbacks;
+    callbacks.closed = std::move(closed);
+    connection_->set_callbacks(std::move(callbacks));
 }
 
 } // namespace nutmegusher::wire
--- a/nutmegusher/wire/client_session.hpp
+++ b/nutmegusher/wire/client_session.hpp
@@ -42,11 +42,11 @@
     open(const request_head& head, bool end_stream);
 
     // Proof that the peer is there, before a request that may not be sent
-    // again: something was received within `heard_lately`, or comes now in
-    // answer to a PING. Without it the first request on a session that has
-    // gone silent is lost, and nobody can tell whether it ran.
-    // Errors: silent where nothing comes within `confirm_limit`, and the
-    // session is suspect; otherwise why it closed.
+    // again: something was received within `recent_receive_window`, or comes
+    // now in answer to a PING. Without it the first request on a session that
+    // has gone silent is lost, and nobody can tell whether it ran. Errors:
+    // silent where nothing comes within `confirm_timeout`, and the session is
+    // suspect; otherwise why it closed.
     [[nodiscard]] boost::asio::awaitable<outcome<void, stream_failure>>
     confirm();
 
--- a/nutmegusher/wire/client_stream.cpp
+++ b/nutmegusher/wire/client_stream.cpp
@@ -81,9 +81,9 @@
     stream_->deadline->async_wait(expired);
 }
 
-void client_stream::expect_answer_soon(bool movable)
+void client_stream::expect_answer_soon(bool retryable)
 {
-    connection_->expect_answer_soon(*stream_, movable);
+    connection_->expect_answer_soon(*stream_, retryable);
 }
 
 void client_stream::cancel()
--- a/nutmegusher/wire/client_stream.hpp
+++ b/nutmegusher/wire/client_stream.hpp
@@ -60,12 +60,12 @@
     void expire_after(duration left);
 
     // The answer is due within fractions of a second, so silence is noticed
-    // early. `movable`: the request can be sent again elsewhere, so it fails
+    // early. `retryable`: the request can be sent again elsewhere, so it fails
     // with `silent` once the session is suspect, long before the session is
     // given up. Pattern of failure: a host loses power with calls on it;
     // without this each of them waits out its time limit, 124 sub-calls on a
     // day on which every second daemon was lost for two seconds.
-    void expect_answer_soon(bool movable);
+    void expect_answer_soon(bool retryable);
 
     // Resets the stream with CANCEL; waiting operations fail with
     // `cancelled`.
--- a/nutmegusher/wire/connection.cpp
+++ b/nutmegusher/wire/connection.cpp
@@ -15,11 +15,11 @@
 // One read takes at most this; all connections of the thread share it.
 constexpr std::size_t read_buffer_bytes = 64 * 1024;
 // Reads before the other connections get their turn.
-constexpr int reads_in_a_turn = 4;
+constexpr int max_reads_per_turn = 4;
 // One write takes about this at most.
 constexpr std::size_t write_batch_bytes = 128 * 1024;
 // A write buffer above this isn't kept while there is nothing to send.
-constexpr std::size_t kept_write_buffer = 4 * 1024;
+constexpr std::size_t max_idle_output_bytes = 4 * 1024;
 
 std::span<std::uint8_t> read_buffer()
 {
@@ -41,8 +41,8 @@
     , session_(make_h2_session(role, *this, options))
     , liveness_(options)
     , control_frames_(options.max_control_frames_per_second)
-    , tick_(context)
-    , opened_(context)
+    , tick_timer_(context)
+    , ready_or_closed_(context)
 {
 }
 
@@ -55,12 +55,12 @@
     schedule_flush();
 }
 
-void connection::set_hooks(connection_hooks hooks)
+void connection::set_callbacks(connection_callbacks callbacks)
 {
-    hooks_ = std::move(hooks);
+    callbacks_ = std::move(callbacks);
 }
 
-void connection::lose(stream_failure why)
+void connection::close(stream_failure why)
 {
     if (closed_)
     {
@@ -70,45 +70,46 @@
     failure_ = why;
     error_code ignored;
     socket_.close(ignored);
-    tick_.cancel();
+    tick_timer_.cancel();
     const auto streams = std::exchange(streams_, {});
-    begun_.clear();
-    for (const auto& [id, one] : streams)
+    pending_requests_.clear();
+    for (const auto& [id, each_stream] : streams)
     {
-        const bool never_sent = role_ == side::client && !one->head_sent;
-        one->closed = true;
-        one->fail(never_sent ? stream_failure::refused : why);
-        one->post_cancelled(context_);
+        const bool never_sent =
+            role_ == side::client && !each_stream->head_sent;
+        each_stream->closed = true;
+        each_stream->fail(never_sent ? stream_failure::refused : why);
+        each_stream->post_cancelled(context_);
     }
-    opened_.notify();
-    wake_listeners();
-    if (hooks_.closed)
+    ready_or_closed_.notify();
+    wake_receive_waiters();
+    if (callbacks_.closed)
     {
-        asio::post(context_, std::exchange(hooks_.closed, nullptr));
+        asio::post(context_, std::exchange(callbacks_.closed, nullptr));
     }
 }
 
-void connection::dismiss()
+void connection::close_with_goaway()
 {
     // What is half written can't be followed by anything else.
     if (closed_ || writing_)
     {
-        lose(stream_failure::cut);
+        close(stream_failure::cut);
         return;
     }
     submit_final_goaway();
-    gather();
+    fill_output();
     if (!closed_)
     {
         error_code ignored;
-        socket_.write_some(asio::buffer(out_), ignored);
+        socket_.write_some(asio::buffer(output_), ignored);
     }
-    lose(stream_failure::cut);
+    close(stream_failure::cut);
 }
 
-void connection::release()
+void connection::close_when_idle()
 {
-    released_ = true;
+    closing_when_idle_ = true;
     schedule_flush();
 }
 
@@ -128,13 +129,13 @@
 
 void connection::give_up()
 {
-    for (const auto& [id, one] : streams_)
+    for (const auto& [id, each_stream] : streams_)
     {
-        one->post_cancelled(context_);
+        each_stream->post_cancelled(context_);
     }
 }
 
-void connection::stop_unconfirmed()
+void connection::stop_without_confirmation()
 {
     if (closed_ || final_goaway_sent_)
     {
@@ -151,19 +152,19 @@
     {
         if (error)
         {
-            self->lose(stream_failure::cut);
+            self->close(stream_failure::cut);
             return;
         }
-        self->read_ready();
+        self->read_available();
     };
     socket_.async_wait(tcp_socket::wait_read, readable);
 }
 
-void connection::read_ready()
+void connection::read_available()
 {
-    for (int i = 0; i < reads_in_a_turn && !closed_; ++i)
+    for (int i = 0; i < max_reads_per_turn && !closed_; ++i)
     {
-        const bool more = read_batch();
+        const bool more = read_once();
         if (!more)
         {
             break;
@@ -173,7 +174,7 @@
     {
         return;
     }
-    begin_requests();
+    start_handlers();
     if (closed_)
     {
         return;
@@ -182,7 +183,7 @@
     wait_readable();
 }
 
-bool connection::read_batch()
+bool connection::read_once()
 {
     const auto buffer = read_buffer();
     error_code error;
@@ -194,30 +195,30 @@
     }
     if (error)
     {
-        lose(stream_failure::cut);
+        close(stream_failure::cut);
         return false;
     }
-    heard();
+    note_received();
     const auto taken =
         nghttp2_session_mem_recv(session_.get(), buffer.data(), count);
     if (taken < 0)
     {
-        lose(stream_failure::protocol);
+        close(stream_failure::protocol);
         return false;
     }
     return count == buffer.size();
 }
 
-void connection::begin_requests()
+void connection::start_handlers()
 {
-    const auto begun = std::exchange(begun_, {});
-    for (const auto& one : begun)
+    const auto requests = std::exchange(pending_requests_, {});
+    for (const auto& each_stream : requests)
     {
-        if (!hooks_.request_begun || one->closed)
+        if (!callbacks_.request_received || each_stream->closed)
         {
             continue;
         }
-        hooks_.request_begun(one);
+        callbacks_.request_received(each_stream);
     }
 }
 
@@ -246,46 +247,46 @@
     {
         return;
     }
-    gather();
+    fill_output();
     if (closed_)
     {
         return;
     }
-    if (out_.empty())
+    if (output_.empty())
     {
-        finish_if_done();
+        close_if_finished();
         return;
     }
     writing_ = true;
     const auto done =
         [self = shared_from_this()](const error_code& error, std::size_t)
     {
-        self->written(error);
+        self->write_finished(error);
     };
-    asio::async_write(socket_, asio::buffer(out_), done);
+    asio::async_write(socket_, asio::buffer(output_), done);
 }
 
-void connection::gather()
+void connection::fill_output()
 {
-    out_.clear();
-    while (out_.size() < write_batch_bytes)
+    output_.clear();
+    while (output_.size() < write_batch_bytes)
     {
         const std::uint8_t* part = nullptr;
         const auto size = nghttp2_session_mem_send(session_.get(), &part);
         if (size < 0)
         {
-            lose(stream_failure::protocol);
+            close(stream_failure::protocol);
             return;
         }
         if (size == 0)
         {
             return;
         }
-        out_.insert(out_.end(), part, part + size);
+        output_.insert(output_.end(), part, part + size);
     }
 }
 
-void connection::written(const error_code& error)
+void connection::write_finished(const error_code& error)
 {
     writing_ = false;
     if (closed_)
@@ -294,37 +295,37 @@
     }
     if (error)
     {
-        lose(stream_failure::cut);
+        close(stream_failure::cut);
         return;
     }
     flush();
 }
 
-void connection::finish_if_done()
+void connection::close_if_finished()
 {
-    if (out_.capacity() > kept_write_buffer)
+    if (output_.capacity() > max_idle_output_bytes)
     {
-        std::vector<std::uint8_t>().swap(out_);
+        std::vector<std::uint8_t>().swap(output_);
     }
     const auto session = session_.get();
-    const bool broken = nghttp2_session_want_read(session) == 0 &&
-                        nghttp2_session_want_write(session) == 0 &&
-                        !streams_.empty();
-    if (broken)
+    const bool session_terminated = nghttp2_session_want_read(session) == 0 &&
+                                    nghttp2_session_want_write(session) == 0 &&
+                                    !streams_.empty();
+    if (session_terminated)
     {
         // nghttp2 has told the peer what it did wrong.
-        lose(stream_failure::protocol);
+        close(stream_failure::protocol);
         return;
     }
     if (busy())
     {
         return;
     }
-    if (role_ == side::client && (released_ || going_away_))
+    if (role_ == side::client && (closing_when_idle_ || going_away_))
     {
-        lose(stream_failure::cut);
+        close(stream_failure::cut);
     }
-    if (role_ == side::server && (final_goaway_sent_ || released_))
+    if (role_ == side::server && (final_goaway_sent_ || closing_when_idle_))
     {
         linger();
     }
@@ -332,7 +333,7 @@
 
 bool connection::busy() const
 {
-    return !streams_.empty() || handlers_ > 0;
+    return !streams_.empty() || running_handlers_ > 0;
 }
 
 std::size_t connection::streams_in_flight() const
@@ -341,19 +342,19 @@
         streams_,
         [](const auto& entry)
         {
-            return entry.second->released;
+            return entry.second->handle_released;
         });
-    return handlers_ + static_cast<std::size_t>(unsent);
+    return running_handlers_ + static_cast<std::size_t>(unsent);
 }
 
 void connection::handler_started()
 {
-    ++handlers_;
+    ++running_handlers_;
 }
 
 void connection::handler_finished()
 {
-    --handlers_;
+    --running_handlers_;
     schedule_flush();
 }
 
--- a/nutmegusher/wire/connection.hpp
+++ b/nutmegusher/wire/connection.hpp
@@ -27,10 +27,10 @@
 {
 
 // What the owner of a connection wants to know; called outside of nghttp2.
-struct connection_hooks
+struct connection_callbacks
 {
     // A peer has opened a stream; its head is complete.
-    std::function<void(std::shared_ptr<stream>)> request_begun;
+    std::function<void(std::shared_ptr<stream>)> request_received;
     // Posted once, after the connection has closed.
     std::function<void()> closed;
 };
@@ -48,24 +48,24 @@
     ~connection() = default;
 
     // From now until the peer's SETTINGS; the last limit given counts.
-    void limit_handshake(duration limit);
+    void set_handshake_timeout(duration limit);
     // The socket is connected: sends SETTINGS, reads. Call once.
     void start();
-    void set_hooks(connection_hooks hooks);
+    void set_callbacks(connection_callbacks callbacks);
 
     // Ends everything now; open streams fail with `why`.
-    void lose(stream_failure why);
+    void close(stream_failure why);
     // The same at a server's own end. The peer is told which streams were read,
     // as far as its receive buffer takes it: it may send the others elsewhere.
-    void dismiss();
+    void close_with_goaway();
     // No new streams; closes when the last one is finished.
-    void release();
+    void close_when_idle();
     // Server: tells the peer to open no more streams, serves those that are
     // open, closes.
     void stop_gracefully();
     // The same without the peer's confirmation: what it sends from now on isn't
     // read, and it is told so.
-    void stop_unconfirmed();
+    void stop_without_confirmation();
 
     // Server: the handlers of open streams are told to end.
     void give_up();
@@ -95,9 +95,9 @@
         return failure_;
     }
     // Notified when it gets ready, or closes.
-    [[nodiscard]] signal& opened()
+    [[nodiscard]] signal& ready_or_closed()
     {
-        return opened_;
+        return ready_or_closed_;
     }
     [[nodiscard]] bool usable() const;
     [[nodiscard]] bool has_free_stream() const;
@@ -124,8 +124,8 @@
     read_some(std::shared_ptr<stream> source, std::span<std::byte> into);
     // Breaks the stream off with an HTTP/2 error code.
     void reset(stream& target, std::uint32_t code, stream_failure why);
-    // The stream's answer is due soon; `movable`: see `client_stream`.
-    void expect_answer_soon(stream& target, bool movable);
+    // The stream's answer is due soon; `retryable`: see `client_stream`.
+    void expect_answer_soon(stream& target, bool retryable);
     // The handle has gone.
     void abandon(stream& target);
 
@@ -148,25 +148,25 @@
 private:
     // connection.cpp: the socket.
     void wait_readable();
-    void read_ready();
-    bool read_batch();
-    void begin_requests();
+    void read_available();
+    bool read_once();
+    void start_handlers();
     void schedule_flush();
     void flush();
-    void gather();
-    void written(const error_code& error);
-    void finish_if_done();
+    void fill_output();
+    void write_finished(const error_code& error);
+    void close_if_finished();
     [[nodiscard]] bool busy() const;
 
     // connection_time.cpp.
     void linger();
-    void plan_tick();
+    void schedule_tick();
     void tick();
-    [[nodiscard]] liveness::waiting waits_for() const;
-    void give_up_movable();
-    void heard();
-    void wake_listeners();
-    void note_no_answer();
+    [[nodiscard]] liveness::awaited_response awaited_now() const;
+    void fail_retryable_streams();
+    void note_received();
+    void wake_receive_waiters();
+    void handle_confirm_timeout();
 
     // connection_streams.cpp and connection_frames.cpp.
     [[nodiscard]] std::shared_ptr<stream> make_stream(std::int32_t id);
@@ -176,9 +176,9 @@
     void drop_inbound(stream& target);
     [[nodiscard]] bool allows_control_frame();
     void headers_received(const nghttp2_frame& frame);
-    void remote_end(stream& target);
-    void local_end(stream& target);
-    void ask_for_shutdown_confirmation();
+    void handle_remote_end(stream& target);
+    void handle_local_end(stream& target);
+    void request_shutdown_confirmation();
     void shutdown_confirmed();
     void submit_final_goaway();
 
@@ -187,36 +187,36 @@
     side role_;
     session_options options_;
     h2_session session_;
-    connection_hooks hooks_;
+    connection_callbacks callbacks_;
 
     std::unordered_map<std::int32_t, std::shared_ptr<stream>> streams_;
     // Their heads are complete; handlers are still to be started.
-    std::vector<std::shared_ptr<stream>> begun_;
-    std::size_t handlers_ = 0;
+    std::vector<std::shared_ptr<stream>> pending_requests_;
+    std::size_t running_handlers_ = 0;
 
-    std::vector<std::uint8_t> out_;
+    std::vector<std::uint8_t> output_;
     bool writing_ = false;
     bool flush_scheduled_ = false;
 
     liveness liveness_;
-    std::chrono::steady_clock::time_point heard_at_;
+    std::chrono::steady_clock::time_point last_received_at_;
     // Those that wait for the peer to be heard, or for the end.
-    std::list<signal*> listeners_;
+    std::list<signal*> receive_waiters_;
     rate_limit control_frames_;
-    timer tick_;
-    std::chrono::steady_clock::time_point last_tick_;
-    duration idle_ = duration::zero();
+    timer tick_timer_;
+    std::chrono::steady_clock::time_point last_tick_at_;
+    duration idle_time_ = duration::zero();
     bool used_since_tick_ = false;
 
-    signal opened_;
+    signal ready_or_closed_;
     bool ready_ = false;
     bool closed_ = false;
     // No new streams: GOAWAY was received or sent.
     bool going_away_ = false;
     bool final_goaway_sent_ = false;
     // The last stream that is served, from then on.
-    std::int32_t last_stream_ = 0;
-    bool released_ = false;
+    std::int32_t last_served_stream_ = 0;
+    bool closing_when_idle_ = false;
     bool lingering_ = false;
     stream_failure failure_ = stream_failure::cut;
 };
--- a/nutmegusher/wire/connection_frames.cpp
+++ b/nutmegusher/wire/connection_frames.cpp
@@ -13,21 +13,21 @@
 
 // Handlers may outlive streams that the peer has reset. A peer that opens and
 // resets at once must not start handlers without bound.
-constexpr std::size_t handlers_for_each_stream = 2;
+constexpr std::size_t max_handlers_per_stream = 2;
 
 constexpr unsigned first_final_status = 200;
 
 // In the PING that asks whether the peer knows of the shutdown; those of the
 // ticks hold zeros.
-constexpr std::array<std::uint8_t, 8> shutdown_mark{
+constexpr std::array<std::uint8_t, 8> shutdown_ping_payload{
     's', 'h', 'u', 't', 'd', 'o', 'w', 'n'};
 
-bool has_shutdown_mark(const nghttp2_frame& frame)
+bool is_shutdown_ping(const nghttp2_frame& frame)
 {
-    return std::ranges::equal(frame.ping.opaque_data, shutdown_mark);
+    return std::ranges::equal(frame.ping.opaque_data, shutdown_ping_payload);
 }
 
-stream_failure failure_of(const stream& closed, std::uint32_t code)
+stream_failure close_failure(const stream& closed, std::uint32_t code)
 {
     if (code == NGHTTP2_REFUSED_STREAM && !closed.head_complete)
     {
@@ -50,14 +50,14 @@
     {
         return 0;
     }
-    if (final_goaway_sent_ && frame.hd.stream_id > last_stream_)
+    if (final_goaway_sent_ && frame.hd.stream_id > last_served_stream_)
     {
         // The GOAWAY waits for a write, and refuses it.
         return 0;
     }
     const auto limit =
-        handlers_for_each_stream * options_.max_concurrent_streams;
-    if (handlers_ + begun_.size() >= limit)
+        max_handlers_per_stream * options_.max_concurrent_streams;
+    if (running_handlers_ + pending_requests_.size() >= limit)
     {
         nghttp2_submit_rst_stream(
             session_.get(),
@@ -129,21 +129,21 @@
     const bool ends = (frame.hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
     if (target != nullptr && may_end && ends)
     {
-        remote_end(*target);
+        handle_remote_end(*target);
     }
     if (type == NGHTTP2_GOAWAY)
     {
         going_away_ = true;
     }
-    if (type == NGHTTP2_PING && is_ack && has_shutdown_mark(frame))
+    if (type == NGHTTP2_PING && is_ack && is_shutdown_ping(frame))
     {
         shutdown_confirmed();
     }
     if (type == NGHTTP2_SETTINGS && !is_ack && !ready_)
     {
         ready_ = true;
-        opened_.notify();
-        plan_tick();
+        ready_or_closed_.notify();
+        schedule_tick();
     }
     return 0;
 }
@@ -166,7 +166,7 @@
     target.head_complete = true;
     if (role_ == side::server)
     {
-        begun_.push_back(found->second);
+        pending_requests_.push_back(found->second);
         return;
     }
     if (target.status < first_final_status)
@@ -177,7 +177,7 @@
     target.readable.notify();
 }
 
-void connection::remote_end(stream& target)
+void connection::handle_remote_end(stream& target)
 {
     target.remote_ended = true;
     target.readable.notify();
@@ -187,7 +187,7 @@
     std::int32_t id, std::span<const std::byte> bytes)
 {
     const auto target = find(id);
-    if (target == nullptr || target->discard)
+    if (target == nullptr || target->discard_inbound)
     {
         nghttp2_session_consume(session_.get(), id, bytes.size());
         return;
@@ -203,7 +203,7 @@
     {
         // Also where nghttp2 itself ends the session.
         going_away_ = true;
-        ask_for_shutdown_confirmation();
+        request_shutdown_confirmation();
         return;
     }
     if (type != NGHTTP2_HEADERS && type != NGHTTP2_DATA)
@@ -219,14 +219,14 @@
     if ((frame.hd.flags & NGHTTP2_FLAG_END_STREAM) != 0)
     {
         target->local_end_sent = true;
-        local_end(*target);
+        handle_local_end(*target);
     }
 }
 
 // A server that has answered whole doesn't want the rest of the request.
-void connection::local_end(stream& target)
+void connection::handle_local_end(stream& target)
 {
-    const bool unwanted = role_ == side::server && target.released &&
+    const bool unwanted = role_ == side::server && target.handle_released &&
                           !target.remote_ended && !target.closed;
     if (unwanted)
     {
@@ -260,7 +260,7 @@
     const bool whole = closed->remote_ended && closed->local_end_sent;
     if (!whole)
     {
-        closed->fail(failure_of(*closed, code));
+        closed->fail(close_failure(*closed, code));
     }
     if (!closed->local_end_sent)
     {
@@ -273,12 +273,12 @@
 
 // nghttp2 sends PING before what is queued already; so only now, and the
 // answer proves that the peer has read the notice.
-void connection::ask_for_shutdown_confirmation()
+void connection::request_shutdown_confirmation()
 {
     if (role_ == side::server && !final_goaway_sent_)
     {
         nghttp2_submit_ping(
-            session_.get(), NGHTTP2_FLAG_NONE, shutdown_mark.data());
+            session_.get(), NGHTTP2_FLAG_NONE, shutdown_ping_payload.data());
         schedule_flush();
     }
 }
@@ -296,11 +296,12 @@
 void connection::submit_final_goaway()
 {
     final_goaway_sent_ = true;
-    last_stream_ = nghttp2_session_get_last_proc_stream_id(session_.get());
+    last_served_stream_ =
+        nghttp2_session_get_last_proc_stream_id(session_.get());
     nghttp2_submit_goaway(
         session_.get(),
         NGHTTP2_FLAG_NONE,
-        last_stream_,
+        last_served_stream_,
         NGHTTP2_NO_ERROR,
         nullptr,
         0);
--- a/nutmegusher/wire/connection_streams.cpp
+++ b/nutmegusher/wire/connection_streams.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t last_usable_stream_id = 0x7ff00000;
 
 // Most heads have no more; spares the growth of the list field by field.
-constexpr std::size_t usual_fields = 12;
+constexpr std::size_t typical_field_count = 12;
 
 // Hands the queued bytes of a stream to nghttp2.
 ssize_t read_outbound(
@@ -41,7 +41,7 @@
     return static_cast<ssize_t>(count);
 }
 
-nghttp2_data_provider provider_of(stream& source)
+nghttp2_data_provider data_provider_for(stream& source)
 {
     nghttp2_data_provider provider{};
     provider.source.ptr = &source;
@@ -53,7 +53,7 @@
 
 bool connection::usable() const
 {
-    const bool open = ready_ && !closed_ && !going_away_ && !released_;
+    const bool open = ready_ && !closed_ && !going_away_ && !closing_when_idle_;
     if (!open || liveness_.suspect())
     {
         return false;
@@ -71,17 +71,18 @@
 
 std::shared_ptr<stream> connection::make_stream(std::int32_t id)
 {
-    if (!busy() && liveness_.planned_late(liveness::waiting::an_answer) &&
+    if (!busy() &&
+        liveness_.is_tick_too_late(liveness::awaited_response::pending) &&
         ready_)
     {
-        plan_tick();
+        schedule_tick();
     }
     used_since_tick_ = true;
-    auto made = std::make_shared<stream>(context_);
-    made->id = id;
-    made->request.fields.reserve(usual_fields);
-    streams_.emplace(id, made);
-    return made;
+    auto new_stream = std::make_shared<stream>(context_);
+    new_stream->id = id;
+    new_stream->request.fields.reserve(typical_field_count);
+    streams_.emplace(id, new_stream);
+    return new_stream;
 }
 
 stream* connection::find(std::int32_t id) const
@@ -102,15 +103,15 @@
         return stream_failure::refused;
     }
     const auto fields = to_h2(head);
-    if (size_of(fields) > options_.max_header_bytes)
+    if (header_list_size(fields) > options_.max_header_bytes)
     {
         return stream_failure::too_large;
     }
     const auto next_id = nghttp2_session_get_next_stream_id(session_.get());
-    auto made = make_stream(static_cast<std::int32_t>(next_id));
-    made->head_submitted = true;
-    made->local_end_queued = end;
-    const auto provider = provider_of(*made);
+    auto new_stream = make_stream(static_cast<std::int32_t>(next_id));
+    new_stream->head_submitted = true;
+    new_stream->local_end_queued = end;
+    const auto provider = data_provider_for(*new_stream);
     const auto id = nghttp2_submit_request(
         session_.get(),
         nullptr,
@@ -118,13 +119,13 @@
         fields.size(),
         end ? nullptr : &provider,
         nullptr);
-    if (id != made->id)
+    if (id != new_stream->id)
     {
-        streams_.erase(made->id);
+        streams_.erase(new_stream->id);
         return stream_failure::not_connected;
     }
     schedule_flush();
-    return made;
+    return new_stream;
 }
 
 outcome<void, stream_failure>
@@ -140,13 +141,13 @@
     }
     std::string status_text;
     const auto fields = to_h2(head, status_text);
-    if (size_of(fields) > options_.max_header_bytes)
+    if (header_list_size(fields) > options_.max_header_bytes)
     {
         return stream_failure::too_large;
     }
     target.head_submitted = true;
     target.local_end_queued = end;
-    const auto provider = provider_of(target);
+    const auto provider = data_provider_for(target);
     nghttp2_submit_response(
         session_.get(),
         target.id,
@@ -171,9 +172,10 @@
             co_return stream_failure::reset;
         }
         const auto queued = target->outbound.size();
-        const auto room =
-            options_.write_buffer - std::min(queued, options_.write_buffer);
-        const auto count = std::min(room, part.size());
+        const auto free_bytes =
+            options_.max_write_buffer_bytes -
+            std::min(queued, options_.max_write_buffer_bytes);
+        const auto count = std::min(free_bytes, part.size());
         target->outbound.push(part.first(count));
         part = part.subspan(count);
         const bool all = part.empty();
@@ -237,7 +239,7 @@
 {
     target.on_cancelled = nullptr;
     target.deadline.reset();
-    target.released = true;
+    target.handle_released = true;
     const bool complete = target.remote_ended && target.local_end_queued;
     const bool answered = role_ == side::server && target.local_end_queued;
     if (complete || answered)
@@ -245,7 +247,7 @@
         drop_inbound(target);
         if (target.local_end_sent)
         {
-            local_end(target);
+            handle_local_end(target);
         }
         return;
     }
@@ -276,7 +278,7 @@
 
 void connection::drop_inbound(stream& target)
 {
-    target.discard = true;
+    target.discard_inbound = true;
     const auto unread = target.inbound.size();
     target.inbound.clear();
     if (unread > 0)
--- a/nutmegusher/wire/connection_time.cpp
+++ b/nutmegusher/wire/connection_time.cpp
@@ -21,22 +21,24 @@
 }
 
 // Keeps a listener in the list while it waits.
-class registered_listener
+class registered_receive_waiter
 {
 public:
-    registered_listener(asio::io_context& context, std::list<signal*>& all)
-        : all_(all)
+    registered_receive_waiter(
+        asio::io_context& context, std::list<signal*>& waiters)
+        : waiters_(waiters)
         , signal_(context)
-        , place_(all_.insert(all_.end(), &signal_))
+        , position_(waiters_.insert(waiters_.end(), &signal_))
     {
     }
 
-    registered_listener(const registered_listener&) = delete;
-    registered_listener& operator=(const registered_listener&) = delete;
+    registered_receive_waiter(const registered_receive_waiter&) = delete;
+    registered_receive_waiter&
+    operator=(const registered_receive_waiter&) = delete;
 
-    ~registered_listener()
+    ~registered_receive_waiter()
     {
-        all_.erase(place_);
+        waiters_.erase(position_);
     }
 
     [[nodiscard]] signal& wait_on()
@@ -45,37 +47,37 @@
     }
 
 private:
-    std::list<signal*>& all_;
+    std::list<signal*>& waiters_;
     signal signal_;
-    std::list<signal*>::iterator place_;
+    std::list<signal*>::iterator position_;
 };
 
 } // namespace
 
-void connection::limit_handshake(duration limit)
+void connection::set_handshake_timeout(duration limit)
 {
-    tick_.expires_after(limit);
+    tick_timer_.expires_after(limit);
     const auto expired = [weak = weak_from_this()](const error_code& error)
     {
         const auto self = weak.lock();
         if (self && !error && !self->ready_)
         {
-            self->lose(stream_failure::timed_out);
+            self->close(stream_failure::timed_out);
         }
     };
-    tick_.async_wait(expired);
+    tick_timer_.async_wait(expired);
 }
 
-void connection::heard()
+void connection::note_received()
 {
     liveness_.received();
-    heard_at_ = std::chrono::steady_clock::now();
-    wake_listeners();
+    last_received_at_ = std::chrono::steady_clock::now();
+    wake_receive_waiters();
 }
 
-void connection::wake_listeners()
+void connection::wake_receive_waiters()
 {
-    for (signal* const each : listeners_)
+    for (signal* const each : receive_waiters_)
     {
         each->notify();
     }
@@ -85,24 +87,24 @@
 {
     const auto self = shared_from_this();
     const auto begin = std::chrono::steady_clock::now();
-    const auto needed = begin - options_.heard_lately;
-    const auto until = begin + options_.confirm_limit;
-    if (!closed_ && heard_at_ < needed)
+    const auto needed = begin - options_.recent_receive_window;
+    const auto until = begin + options_.confirm_timeout;
+    if (!closed_ && last_received_at_ < needed)
     {
         nghttp2_submit_ping(session_.get(), NGHTTP2_FLAG_NONE, nullptr);
         schedule_flush();
     }
-    while (!closed_ && heard_at_ < needed)
+    while (!closed_ && last_received_at_ < needed)
     {
-        registered_listener listener(context_, listeners_);
-        const auto woken = co_await listener.wait_on().wait_until(until);
-        if (woken == wake::cancelled)
+        registered_receive_waiter waiter(context_, receive_waiters_);
+        const auto woken = co_await waiter.wait_on().wait_until(until);
+        if (woken == wait_result::cancelled)
         {
             co_return stream_failure::cancelled;
         }
-        if (woken == wake::timed_out)
+        if (woken == wait_result::timed_out)
         {
-            note_no_answer();
+            handle_confirm_timeout();
             co_return stream_failure::silent;
         }
     }
@@ -113,11 +115,11 @@
     co_return outcome<void, stream_failure>();
 }
 
-void connection::note_no_answer()
+void connection::handle_confirm_timeout()
 {
-    liveness_.unanswered(options_.near_silence_limit);
-    give_up_movable();
-    plan_tick();
+    liveness_.note_unanswered_ping(options_.urgent_silence_timeout);
+    fail_retryable_streams();
+    schedule_tick();
 }
 
 // Closing while bytes of the peer are unread would make TCP drop what was
@@ -131,75 +133,76 @@
     lingering_ = true;
     error_code ignored;
     socket_.shutdown(tcp_socket::shutdown_send, ignored);
-    tick_.expires_after(options_.linger_limit);
+    tick_timer_.expires_after(options_.linger_timeout);
     const auto expired = [weak = weak_from_this()](const error_code& error)
     {
         const auto self = weak.lock();
         if (self && !error)
         {
-            self->lose(stream_failure::cut);
+            self->close(stream_failure::cut);
         }
     };
-    tick_.async_wait(expired);
+    tick_timer_.async_wait(expired);
 }
 
-liveness::waiting connection::waits_for() const
+liveness::awaited_response connection::awaited_now() const
 {
     if (!busy())
     {
-        return liveness::waiting::nothing;
+        return liveness::awaited_response::none;
     }
-    const bool near = std::any_of(
+    const bool due_soon = std::any_of(
         streams_.begin(),
         streams_.end(),
         [](const auto& item)
         {
-            return item.second->answer_is_near;
+            return item.second->answer_due_soon;
         });
-    return near ? liveness::waiting::a_near_answer
-                : liveness::waiting::an_answer;
+    return due_soon ? liveness::awaited_response::due_soon
+                    : liveness::awaited_response::pending;
 }
 
-void connection::expect_answer_soon(stream& target, bool movable)
+void connection::expect_answer_soon(stream& target, bool retryable)
 {
-    target.answer_is_near = true;
-    target.movable = movable;
-    if (liveness_.planned_late(liveness::waiting::a_near_answer) && ready_)
+    target.answer_due_soon = true;
+    target.retryable = retryable;
+    if (liveness_.is_tick_too_late(liveness::awaited_response::due_soon) &&
+        ready_)
     {
-        plan_tick();
+        schedule_tick();
     }
 }
 
 // Those that can be sent again elsewhere.
-void connection::give_up_movable()
+void connection::fail_retryable_streams()
 {
-    std::vector<std::shared_ptr<stream>> given_up;
+    std::vector<std::shared_ptr<stream>> failing;
     for (const auto& [id, each] : streams_)
     {
-        if (each->movable && !each->remote_ended)
+        if (each->retryable && !each->remote_ended)
         {
-            given_up.push_back(each);
+            failing.push_back(each);
         }
     }
-    for (const auto& each : given_up)
+    for (const auto& each : failing)
     {
         reset(*each, NGHTTP2_CANCEL, stream_failure::silent);
     }
 }
 
-void connection::plan_tick()
+void connection::schedule_tick()
 {
     const bool recently_busy = busy() || used_since_tick_;
     used_since_tick_ = false;
-    last_tick_ = std::chrono::steady_clock::now();
-    auto waiting = waits_for();
-    if (recently_busy && waiting == liveness::waiting::nothing)
+    last_tick_at_ = std::chrono::steady_clock::now();
+    auto awaited_response = awaited_now();
+    if (recently_busy && awaited_response == liveness::awaited_response::none)
     {
         // Calls that come and go between two ticks: the next one may be open
         // when the peer falls silent.
-        waiting = liveness::waiting::an_answer;
+        awaited_response = liveness::awaited_response::pending;
     }
-    tick_.expires_after(liveness_.plan_tick(waiting));
+    tick_timer_.expires_after(liveness_.schedule_tick(awaited_response));
     const auto due = [weak = weak_from_this()](const error_code& error)
     {
         const auto self = weak.lock();
@@ -208,23 +211,23 @@
             self->tick();
         }
     };
-    tick_.async_wait(due);
+    tick_timer_.async_wait(due);
 }
 
 void connection::tick()
 {
-    const auto elapsed = std::chrono::steady_clock::now() - last_tick_;
+    const auto elapsed = std::chrono::steady_clock::now() - last_tick_at_;
     const bool was_suspect = liveness_.suspect();
-    const auto action = liveness_.tick(elapsed, waits_for());
+    const auto action = liveness_.tick(elapsed, awaited_now());
     if (liveness_.suspect() && !was_suspect)
     {
-        give_up_movable();
+        fail_retryable_streams();
     }
     if (action == liveness::action::give_up)
     {
         const auto peer = peer_name(socket_);
         log_event(event::connection_silent, {{"peer", peer}});
-        lose(stream_failure::silent);
+        close(stream_failure::silent);
         return;
     }
     if (action == liveness::action::send_ping)
@@ -233,13 +236,13 @@
         schedule_flush();
     }
     const bool idle = !busy() && !used_since_tick_;
-    idle_ = idle ? idle_ + elapsed : duration::zero();
-    if (role_ == side::client && idle_ >= options_.idle_limit)
+    idle_time_ = idle ? idle_time_ + elapsed : duration::zero();
+    if (role_ == side::client && idle_time_ >= options_.idle_timeout)
     {
-        lose(stream_failure::cut);
+        close(stream_failure::cut);
         return;
     }
-    plan_tick();
+    schedule_tick();
 }
 
 } // namespace nutmegusher::wire::internal
--- a/nutmegusher/wire/h2_session.cpp
+++ b/nutmegusher/wire/h2_session.cpp
@@ -180,7 +180,7 @@
 }
 
 // Fields about one connection of HTTP/1.1 have no place on a stream.
-bool is_about_connection(std::string_view name)
+bool is_connection_specific(std::string_view name)
 {
     constexpr std::array<std::string_view, 7> names{
         "connection",
@@ -197,7 +197,7 @@
 {
     for (const auto& [name, value] : more)
     {
-        if (!is_about_connection(name))
+        if (!is_connection_specific(name))
         {
             fields.push_back(field(name, value));
         }
@@ -250,12 +250,12 @@
     return fields;
 }
 
-std::size_t size_of(const h2_fields& fields)
+std::size_t header_list_size(const h2_fields& fields)
 {
     std::size_t size = 0;
-    for (const auto& one : fields)
+    for (const auto& each_field : fields)
     {
-        size += one.namelen + one.valuelen + field_overhead;
+        size += each_field.namelen + each_field.valuelen + field_overhead;
     }
     return size;
 }
--- a/nutmegusher/wire/h2_session.hpp
+++ b/nutmegusher/wire/h2_session.hpp
@@ -45,7 +45,7 @@
 // What HTTP/2 counts for a field: its bytes and 32 more.
 inline constexpr std::size_t field_overhead = 32;
 
-[[nodiscard]] std::size_t size_of(const h2_fields& fields);
+[[nodiscard]] std::size_t header_list_size(const h2_fields& fields);
 
 } // namespace nutmegusher::wire::internal
 
--- a/nutmegusher/wire/liveness.cpp
+++ b/nutmegusher/wire/liveness.cpp
@@ -5,87 +5,88 @@
 namespace nutmegusher::wire::internal
 {
 
-duration liveness::interval(waiting now) const
+duration liveness::ping_interval_for(awaited_response awaited) const
 {
-    switch (now)
+    switch (awaited)
     {
-    case waiting::nothing:
+    case awaited_response::none:
         return options_.idle_ping_interval;
-    case waiting::an_answer:
+    case awaited_response::pending:
         return options_.ping_interval;
-    case waiting::a_near_answer:
+    case awaited_response::due_soon:
         break;
     }
-    return std::min(options_.ping_interval, options_.near_ping_interval);
+    return std::min(options_.ping_interval, options_.urgent_ping_interval);
 }
 
-duration liveness::silence(waiting now) const
+duration liveness::silence_timeout_for(awaited_response awaited) const
 {
-    return now == waiting::a_near_answer
-               ? std::min(options_.silence_limit, options_.near_silence_limit)
-               : options_.silence_limit;
+    return awaited == awaited_response::due_soon
+               ? std::min(
+                     options_.silence_timeout, options_.urgent_silence_timeout)
+               : options_.silence_timeout;
 }
 
-liveness::action liveness::tick(duration elapsed, waiting now)
+liveness::action liveness::tick(duration elapsed, awaited_response awaited)
 {
-    if (received_)
+    if (received_since_tick_)
     {
-        start_over();
+        reset();
         return action::none;
     }
-    const bool paused = elapsed > 2 * planned_;
-    if (paused)
+    const bool process_paused = elapsed > 2 * tick_interval_;
+    if (process_paused)
     {
         return action::none;
     }
     if (!ping_sent_)
     {
-        quiet_ += elapsed;
-        if (quiet_ < interval(now))
+        silent_time_ += elapsed;
+        if (silent_time_ < ping_interval_for(awaited))
         {
             return action::none;
         }
         ping_sent_ = true;
         return action::send_ping;
     }
-    unanswered_ += elapsed;
-    suspect_ = unanswered_ >= silence(now);
-    const bool over =
-        unanswered_ >= options_.silence_limit + options_.give_up_limit;
-    return over ? action::give_up : action::none;
+    unanswered_time_ += elapsed;
+    suspect_ = unanswered_time_ >= silence_timeout_for(awaited);
+    const bool expired =
+        unanswered_time_ >= options_.silence_timeout + options_.give_up_timeout;
+    return expired ? action::give_up : action::none;
 }
 
-void liveness::unanswered(duration time)
+void liveness::note_unanswered_ping(duration elapsed)
 {
-    received_ = false;
+    received_since_tick_ = false;
     ping_sent_ = true;
     suspect_ = true;
-    unanswered_ = std::max(unanswered_, time);
+    unanswered_time_ = std::max(unanswered_time_, elapsed);
 }
 
-duration liveness::plan_tick(waiting now)
+duration liveness::schedule_tick(awaited_response awaited)
 {
     if (!ping_sent_)
     {
-        planned_ = interval(now);
-        return planned_;
+        tick_interval_ = ping_interval_for(awaited);
+        return tick_interval_;
     }
     const auto next_limit =
-        suspect_ ? options_.silence_limit + options_.give_up_limit
-                 : silence(now);
-    const auto left = std::max<duration>(
-        next_limit - unanswered_, std::chrono::milliseconds(1));
-    planned_ = std::min(left, options_.ping_interval);
-    return planned_;
+        suspect_ ? options_.silence_timeout + options_.give_up_timeout
+                 : silence_timeout_for(awaited);
+    const auto remaining = std::max<duration>(
+        next_limit - unanswered_time_, std::chrono::milliseconds(1));
+    tick_interval_ = std::min(remaining, options_.ping_interval);
+    return tick_interval_;
 }
 
-void liveness::start_over()
+void liveness::reset()
 {
-    received_ = false;
+    received_since_tick_ = false;
     suspect_ = false;
     ping_sent_ = false;
-    quiet_ = duration::zero();
-    unanswered_ = duration::zero();
+    silent_time_ = duration::zero();
+    unanswered_time_ = duration::zero();
 }
 
 } // namespace nutmegusher::wire::internal
--- a/nutmegusher/wire/liveness.hpp
+++ b/nutmegusher/wire/liveness.hpp
@@ -29,11 +29,11 @@
     };
 
     // What the open streams wait for.
-    enum class waiting : std::uint8_t
+    enum class awaited_response : std::uint8_t
     {
-        nothing,
-        an_answer,
-        a_near_answer
+        none,
+        pending,
+        due_soon
     };
 
     explicit liveness(const session_options& options)
@@ -44,24 +44,24 @@
     // Something arrived from the peer.
     void received()
     {
-        received_ = true;
+        received_since_tick_ = true;
         suspect_ = false;
     }
 
     // A PING sent aside of the ticks has had no answer for so long, which is
     // the limit of silence: the connection is suspect.
-    void unanswered(duration time);
+    void note_unanswered_ping(duration elapsed);
 
     // Time has passed since the tick before.
-    [[nodiscard]] action tick(duration elapsed, waiting now);
+    [[nodiscard]] action tick(duration elapsed, awaited_response awaited);
 
     // When the next tick is due; also plans it.
-    [[nodiscard]] duration plan_tick(waiting now);
+    [[nodiscard]] duration schedule_tick(awaited_response awaited);
 
     // The planned tick is later than streams that wait so may wait for it.
-    [[nodiscard]] bool planned_late(waiting now) const
+    [[nodiscard]] bool is_tick_too_late(awaited_response awaited) const
     {
-        return planned_ > interval(now);
+        return tick_interval_ > ping_interval_for(awaited);
     }
 
     // No new streams.
@@ -71,19 +71,19 @@
     }
 
 private:
-    void start_over();
-    [[nodiscard]] duration interval(waiting now) const;
-    [[nodiscard]] duration silence(waiting now) const;
+    void reset();
+    [[nodiscard]] duration ping_interval_for(awaited_response awaited) const;
+    [[nodiscard]] duration silence_timeout_for(awaited_response awaited) const;
 
     const session_options options_;
 
-    duration planned_ = duration::zero();
+    duration tick_interval_ = duration::zero();
     // Without anything received.
-    duration quiet_ = duration::zero();
+    duration silent_time_ = duration::zero();
     // Since the PING, without anything received.
-    duration unanswered_ = duration::zero();
+    duration unanswered_time_ = duration::zero();
     bool ping_sent_ = false;
-    bool received_ = false;
+    bool received_since_tick_ = false;
     bool suspect_ = false;
 };
 
--- a/nutmegusher/wire/liveness_test.cpp
+++ b/nutmegusher/wire/liveness_test.cpp
@@ -10,123 +10,128 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using action = liveness::action;
-using waiting = liveness::waiting;
+using awaited_response = liveness::awaited_response;
 
-session_options times()
+session_options test_options()
 {
     session_options options;
     options.ping_interval = milliseconds(500);
     options.idle_ping_interval = seconds(10);
-    options.silence_limit = seconds(1);
-    options.give_up_limit = seconds(2);
+    options.silence_timeout = seconds(1);
+    options.give_up_timeout = seconds(2);
     return options;
 }
 
 // Plans a tick and lets it come on time.
-action next(liveness& watched, waiting now)
+action run_next_tick(liveness& watched, awaited_response awaited)
 {
-    const auto span = watched.plan_tick(now);
-    return watched.tick(span, now);
+    const auto span = watched.schedule_tick(awaited);
+    return watched.tick(span, awaited);
 }
 
 // Lets the ticks come until something is to be done; gives the time it took.
-struct step
+struct tick_result
 {
-    action what;
+    action requested;
     duration after;
 };
 
-step next_step(liveness& watched, waiting now)
+tick_result run_until_change(liveness& watched, awaited_response awaited)
 {
     const bool suspect = watched.suspect();
     duration after{0};
-    constexpr int more_ticks_than_needed = 100;
-    for (int i = 0; i < more_ticks_than_needed; ++i)
+    constexpr int max_ticks = 100;
+    for (int i = 0; i < max_ticks; ++i)
     {
-        const auto span = watched.plan_tick(now);
-        const auto what = watched.tick(span, now);
+        const auto span = watched.schedule_tick(awaited);
+        const auto requested = watched.tick(span, awaited);
         after += span;
-        if (what != action::none || watched.suspect() != suspect)
+        if (requested != action::none || watched.suspect() != suspect)
         {
-            return {what, after};
+            return {requested, after};
         }
     }
     return {action::none, after};
 }
 
-TEST(liveness, a_quiet_peer_is_asked_then_suspected_then_given_up)
+TEST(liveness, a_silent_peer_is_pinged_then_suspected_then_given_up)
 {
-    liveness watched(times());
-    const auto asked = next_step(watched, waiting::an_answer);
-    EXPECT_EQ(asked.what, action::send_ping);
+    liveness watched(test_options());
+    const auto asked = run_until_change(watched, awaited_response::pending);
+    EXPECT_EQ(asked.requested, action::send_ping);
     EXPECT_EQ(asked.after, milliseconds(500));
     EXPECT_FALSE(watched.suspect());
-    const auto suspected = next_step(watched, waiting::an_answer);
-    EXPECT_EQ(suspected.what, action::none);
+    const auto suspected = run_until_change(watched, awaited_response::pending);
+    EXPECT_EQ(suspected.requested, action::none);
     EXPECT_EQ(suspected.after, seconds(1));
     EXPECT_TRUE(watched.suspect());
-    const auto over = next_step(watched, waiting::an_answer);
-    EXPECT_EQ(over.what, action::give_up);
-    EXPECT_EQ(over.after, seconds(2));
+    const auto given_up = run_until_change(watched, awaited_response::pending);
+    EXPECT_EQ(given_up.requested, action::give_up);
+    EXPECT_EQ(given_up.after, seconds(2));
 }
 
-TEST(liveness, whatever_arrives_ends_the_suspicion_at_once)
+TEST(liveness, any_received_data_clears_suspicion_at_once)
 {
-    liveness watched(times());
-    static_cast<void>(next_step(watched, waiting::an_answer));
-    static_cast<void>(next_step(watched, waiting::an_answer));
+    liveness watched(test_options());
+    static_cast<void>(run_until_change(watched, awaited_response::pending));
+    static_cast<void>(run_until_change(watched, awaited_response::pending));
     ASSERT_TRUE(watched.suspect());
     watched.received();
     EXPECT_FALSE(watched.suspect());
-    EXPECT_EQ(next(watched, waiting::an_answer), action::none);
-    EXPECT_EQ(next(watched, waiting::an_answer), action::send_ping);
+    EXPECT_EQ(run_next_tick(watched, awaited_response::pending), action::none);
+    EXPECT_EQ(
+        run_next_tick(watched, awaited_response::pending), action::send_ping);
 }
 
-TEST(liveness, a_busy_session_that_receives_is_never_asked)
+TEST(liveness, a_session_that_receives_data_is_never_pinged)
 {
-    liveness watched(times());
+    liveness watched(test_options());
     for (int i = 0; i < 100; ++i)
     {
         watched.received();
-        EXPECT_EQ(next(watched, waiting::an_answer), action::none);
+        EXPECT_EQ(
+            run_next_tick(watched, awaited_response::pending), action::none);
     }
 }
 
-TEST(liveness, an_idle_session_is_asked_seldom)
+TEST(liveness, an_idle_session_is_pinged_rarely)
 {
-    liveness watched(times());
-    EXPECT_EQ(watched.plan_tick(waiting::nothing), seconds(10));
-    EXPECT_TRUE(watched.planned_late(waiting::an_answer));
-    EXPECT_EQ(watched.tick(seconds(10), waiting::nothing), action::send_ping);
+    liveness watched(test_options());
+    EXPECT_EQ(watched.schedule_tick(awaited_response::none), seconds(10));
+    EXPECT_TRUE(watched.is_tick_too_late(awaited_response::pending));
+    EXPECT_EQ(
+        watched.tick(seconds(10), awaited_response::none), action::send_ping);
 }
 
 TEST(liveness, a_pause_of_this_process_is_no_silence_of_the_peer)
 {
-    liveness watched(times());
-    static_cast<void>(next_step(watched, waiting::an_answer));
-    static_cast<void>(next_step(watched, waiting::an_answer));
+    liveness watched(test_options());
+    static_cast<void>(run_until_change(watched, awaited_response::pending));
+    static_cast<void>(run_until_change(watched, awaited_response::pending));
     ASSERT_TRUE(watched.suspect());
-    static_cast<void>(watched.plan_tick(waiting::an_answer));
-    EXPECT_EQ(watched.tick(seconds(60), waiting::an_answer), action::none);
+    static_cast<void>(watched.schedule_tick(awaited_response::pending));
+    EXPECT_EQ(
+        watched.tick(seconds(60), awaited_response::pending), action::none);
 }
 
-TEST(liveness, where_an_answer_is_due_soon_silence_is_noticed_early)
+TEST(liveness, silence_is_detected_early_while_an_answer_is_due_soon)
 {
-    auto options = times();
-    options.near_ping_interval = milliseconds(150);
-    options.near_silence_limit = milliseconds(300);
+    auto options = test_options();
+    options.urgent_ping_interval = milliseconds(150);
+    options.urgent_silence_timeout = milliseconds(300);
     liveness watched(options);
-    static_cast<void>(watched.plan_tick(waiting::an_answer));
-    EXPECT_TRUE(watched.planned_late(waiting::a_near_answer));
-    const auto asked = next_step(watched, waiting::a_near_answer);
-    EXPECT_EQ(asked.what, action::send_ping);
+    static_cast<void>(watched.schedule_tick(awaited_response::pending));
+    EXPECT_TRUE(watched.is_tick_too_late(awaited_response::due_soon));
+    const auto asked = run_until_change(watched, awaited_response::due_soon);
+    EXPECT_EQ(asked.requested, action::send_ping);
     EXPECT_EQ(asked.after, milliseconds(150));
-    const auto suspected = next_step(watched, waiting::a_near_answer);
+    const auto suspected =
+        run_until_change(watched, awaited_response::due_soon);
     EXPECT_EQ(suspected.after, milliseconds(300));
     EXPECT_TRUE(watched.suspect());
-    const auto over = next_step(watched, waiting::a_near_answer);
-    EXPECT_EQ(over.what, action::give_up);
-    EXPECT_EQ(suspected.after + over.after, seconds(3)) << "as without it";
+    const auto given_up = run_until_change(watched, awaited_response::due_soon);
+    EXPECT_EQ(given_up.requested, action::give_up);
+    EXPECT_EQ(suspected.after + given_up.after, seconds(3)) << "as without it";
 }
 
 } // namespace
--- a/nutmegusher/wire/server.cpp
+++ b/nutmegusher/wire/server.cpp
@@ -18,7 +18,7 @@
     asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
 // After accept has failed (no file descriptors, mostly) it is tried again.
-constexpr std::chrono::milliseconds accept_pause{100};
+constexpr std::chrono::milliseconds accept_retry_delay{100};
 
 } // namespace
 
@@ -32,8 +32,8 @@
         const session_options& options)
         : context_(context)
         , acceptor_(context)
-        , pause_(context)
-        , drained_(context)
+        , accept_retry_timer_(context)
+        , connection_closed_(context)
         , handler_(std::make_shared<const stream_handler>(std::move(handler)))
         , options_(options)
     {
@@ -72,10 +72,10 @@
             }
             if (error)
             {
-                self->accept_later();
+                self->schedule_accept_retry();
                 return;
             }
-            self->serve(std::move(socket));
+            self->serve_connection(std::move(socket));
             self->accept();
         };
         acceptor_.async_accept(context_, accepted);
@@ -85,11 +85,11 @@
     {
         error_code ignored;
         acceptor_.close(ignored);
-        pause_.cancel();
+        accept_retry_timer_.cancel();
         const auto connections = std::exchange(connections_, {});
-        for (const auto& [key, one] : connections)
+        for (const auto& [key, each_connection] : connections)
         {
-            one->dismiss();
+            each_connection->close_with_goaway();
         }
     }
 
@@ -97,9 +97,9 @@
     {
         error_code ignored;
         acceptor_.close(ignored);
-        for (const auto& [key, one] : connections_)
+        for (const auto& [key, each_connection] : connections_)
         {
-            one->stop_gracefully();
+            each_connection->stop_gracefully();
         }
     }
 
@@ -108,27 +108,27 @@
         const auto self = shared_from_this();
         close_intake();
         const auto deadline = std::chrono::steady_clock::now() + limit;
-        auto woken = wake::notified;
-        while (woken == wake::notified && !connections_.empty())
+        auto woken = wait_result::notified;
+        while (woken == wait_result::notified && !connections_.empty())
         {
-            woken = co_await drained_.wait_until(deadline);
+            woken = co_await connection_closed_.wait_until(deadline);
         }
         close();
     }
 
-    void end_sessions()
+    void close_unconfirmed_sessions()
     {
-        for (const auto& [key, one] : connections_)
+        for (const auto& [key, each_connection] : connections_)
         {
-            one->stop_unconfirmed();
+            each_connection->stop_without_confirmation();
         }
     }
 
     void give_up()
     {
-        for (const auto& [key, one] : connections_)
+        for (const auto& [key, each_connection] : connections_)
         {
-            one->give_up();
+            each_connection->give_up();
         }
     }
 
@@ -141,9 +141,9 @@
     [[nodiscard]] std::size_t open_streams() const
     {
         std::size_t sum = 0;
-        for (const auto& [key, one] : connections_)
+        for (const auto& [key, each_connection] : connections_)
         {
-            sum += one->streams_in_flight();
+            sum += each_connection->streams_in_flight();
         }
         return sum;
     }
@@ -154,60 +154,62 @@
     }
 
 private:
-    void accept_later()
+    void schedule_accept_retry()
     {
-        pause_.expires_after(accept_pause);
-        const auto again = [self = shared_from_this()](const error_code& error)
+        accept_retry_timer_.expires_after(accept_retry_delay);
+        const auto retry = [self = shared_from_this()](const error_code& error)
         {
             if (!error && self->acceptor_.is_open())
             {
                 self->accept();
             }
         };
-        pause_.async_wait(again);
+        accept_retry_timer_.async_wait(retry);
     }
 
-    void serve(tcp_socket socket)
+    void serve_connection(tcp_socket socket)
     {
         if (connections_.size() >= options_.max_connections)
         {
             return;
         }
-        const auto made = std::make_shared<connection>(
+        const auto new_connection = std::make_shared<connection>(
             context_, std::move(socket), side::server, options_);
-        connections_.emplace(made.get(), made);
+        connections_.emplace(new_connection.get(), new_connection);
         const std::weak_ptr<server_state> weak_self = weak_from_this();
-        const std::weak_ptr<connection> weak_made = made;
-        connection_hooks hooks;
-        hooks.request_begun =
-            [weak_self, weak_made](std::shared_ptr<stream> begun)
+        const std::weak_ptr<connection> weak_connection = new_connection;
+        connection_callbacks callbacks;
+        callbacks.request_received =
+            [weak_self, weak_connection](std::shared_ptr<stream> request)
         {
             const auto self = weak_self.lock();
-            const auto owner = weak_made.lock();
+            const auto owner = weak_connection.lock();
             if (self && owner)
             {
-                self->run_handler(owner, std::move(begun));
+                self->run_handler(owner, std::move(request));
             }
         };
-        hooks.closed = [weak_self, key = made.get()]
+        callbacks.closed = [weak_self, key = new_connection.get()]
         {
             const auto self = weak_self.lock();
             if (self)
             {
                 self->connections_.erase(key);
-                self->drained_.notify();
+                self->connection_closed_.notify();
             }
         };
-        made->set_hooks(std::move(hooks));
-        made->limit_handshake(options_.connect_timeout);
-        made->start();
+        new_connection->set_callbacks(std::move(callbacks));
+        new_connection->set_handshake_timeout(options_.connect_timeout);
+        new_connection->start();
     }
 
     void run_handler(
-        const std::shared_ptr<connection>& owner, std::shared_ptr<stream> begun)
+        const std::shared_ptr<connection>& owner,
+        std::shared_ptr<stream> request)
     {
         owner->handler_started();
-        auto handle = std::make_shared<server_stream>(owner, std::move(begun));
+        auto handle =
+            std::make_shared<server_stream>(owner, std::move(request));
         // The coroutine refers to the handler's own state.
         auto finished =
             [owner, handler = handler_](const std::exception_ptr& /*thrown*/)
@@ -221,8 +223,8 @@
 
     asio::io_context& context_;
     tcp_acceptor acceptor_;
-    timer pause_;
-    signal drained_;
+    timer accept_retry_timer_;
+    signal connection_closed_;
     std::shared_ptr<const stream_handler> handler_;
     session_options options_;
     std::unordered_map<connection*, std::shared_ptr<connection>> connections_;
@@ -273,9 +275,9 @@
     return state_->stop_gracefully(limit);
 }
 
-void server::end_sessions()
+void server::close_unconfirmed_sessions()
 {
-    state_->end_sessions();
+    state_->close_unconfirmed_sessions();
 }
 
 void server::give_up()
--- a/nutmegusher/wire/server.hpp
+++ b/nutmegusher/wire/server.hpp
@@ -69,7 +69,7 @@
     // Ends the sessions of peers that haven't confirmed their end: what these
     // send from now on isn't read, and they are told so. Streams that were read
     // are served. Requires: no connection is accepted any more.
-    void end_sessions();
+    void close_unconfirmed_sessions();
 
     // Has each stream in work end: its handler is told as if the peer had
     // cancelled it, and may still answer.
--- a/nutmegusher/wire/server_stop_test.cpp
+++ b/nutmegusher/wire/server_stop_test.cpp
@@ -18,7 +18,7 @@
 asio::awaitable<void> graceful_stop(asio::io_context& context)
 {
     gate watched;
-    const auto server = listen_or_fail(context, behind(watched));
+    const auto server = listen_or_fail(context, gated_echo(watched));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -30,15 +30,16 @@
     {
         return watched.entered == 1;
     };
-    co_await until(entered);
+    co_await poll_until(entered);
 
     bool stopped = false;
-    asio::co_spawn(context, stop(*server, test_limit, stopped), asio::detached);
+    asio::co_spawn(
+        context, stop(*server, test_timeout, stopped), asio::detached);
     const auto going_away = [&session]
     {
         return !(*session)->usable();
     };
-    co_await until(going_away);
+    co_await poll_until(going_away);
     const auto late = (*session)->open(get("/late"), true);
     EXPECT_FALSE(late);
     EXPECT_EQ(late.error(), stream_failure::not_connected);
@@ -47,14 +48,14 @@
     watched.open = true;
     const auto written = co_await (*stream)->write(bytes, true);
     EXPECT_TRUE(written);
-    const auto answer = co_await finish(**stream);
+    const auto answer = co_await read_response(**stream);
     EXPECT_TRUE(answer);
     EXPECT_TRUE(answer == body);
     const auto has_stopped = [&stopped]
     {
         return stopped;
     };
-    co_await until(has_stopped);
+    co_await poll_until(has_stopped);
     EXPECT_EQ(server->connections(), 0U);
     EXPECT_EQ(watched.cancelled, 0);
 }
@@ -65,7 +66,7 @@
     run(context, graceful_stop(context));
 }
 
-struct request_tally
+struct request_counts
 {
     int whole = 0;
     int not_processed = 0;
@@ -75,9 +76,9 @@
 
 // Asks again and again until the server takes no more.
 asio::awaitable<void>
-ask_until_stopped(client_session& session, request_tally& tally)
+send_until_stopped(client_session& session, request_counts& counts)
 {
-    ++tally.running;
+    ++counts.running;
     for (;;)
     {
         const auto stream = session.open(get("/"), true);
@@ -85,16 +86,16 @@
         {
             break;
         }
-        const auto answer = co_await finish(**stream);
+        const auto answer = co_await read_response(**stream);
         if (answer)
         {
-            ++tally.whole;
+            ++counts.whole;
             continue;
         }
         const bool unprocessed = certainly_not_processed(answer.error());
-        ++(unprocessed ? tally.not_processed : tally.other);
+        ++(unprocessed ? counts.not_processed : counts.other);
     }
-    --tally.running;
+    --counts.running;
 }
 
 asio::awaitable<void> stop_under_load(asio::io_context& context)
@@ -110,26 +111,26 @@
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
-    request_tally tally;
+    request_counts counts;
     for (int i = 0; i < 50; ++i)
     {
         asio::co_spawn(
-            context, ask_until_stopped(**session, tally), asio::detached);
+            context, send_until_stopped(**session, counts), asio::detached);
     }
-    const auto under_load = [&tally]
+    const auto under_load = [&counts]
     {
-        return tally.whole > 1000;
+        return counts.whole > 1000;
     };
-    co_await until(under_load);
-    co_await server->stop_gracefully(test_limit);
-    const auto all_ended = [&tally]
+    co_await poll_until(under_load);
+    co_await server->stop_gracefully(test_timeout);
+    const auto all_ended = [&counts]
     {
-        return tally.running == 0;
+        return counts.running == 0;
     };
-    co_await until(all_ended);
-    EXPECT_EQ(tally.other, 0);
+    co_await poll_until(all_ended);
+    EXPECT_EQ(counts.other, 0);
     // What was said not to be processed wasn't.
-    EXPECT_EQ(handled, tally.whole);
+    EXPECT_EQ(handled, counts.whole);
 }
 
 TEST(server, a_stop_under_load_answers_or_refuses_each_request)
@@ -141,7 +142,7 @@
 asio::awaitable<void> stop_limit(asio::io_context& context)
 {
     gate watched;
-    const auto server = listen_or_fail(context, behind(watched));
+    const auto server = listen_or_fail(context, gated_echo(watched));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -151,17 +152,17 @@
     {
         return watched.entered == 1;
     };
-    co_await until(entered);
+    co_await poll_until(entered);
     co_await server->stop_gracefully(std::chrono::milliseconds(50));
     EXPECT_EQ(server->connections(), 0U);
-    const auto answer = co_await finish(**stream);
+    const auto answer = co_await read_response(**stream);
     EXPECT_FALSE(answer);
     EXPECT_EQ(answer.error(), stream_failure::cut);
-    const auto told = [&watched]
+    const auto observed = [&watched]
     {
         return watched.cancelled == 1;
     };
-    co_await until(told);
+    co_await poll_until(observed);
 }
 
 TEST(server, a_stop_ends_at_its_limit)
@@ -233,27 +234,28 @@
     tcp::socket socket(context);
     co_await socket.async_connect(
         server->local_endpoint(), asio::use_awaitable);
-    const auto greeting = client_greeting();
+    const auto preface = client_preface();
     co_await asio::async_write(
-        socket, asio::buffer(greeting), asio::use_awaitable);
+        socket, asio::buffer(preface), asio::use_awaitable);
     const auto before = co_await next_frame_of(socket, ping_frame);
 
     bool stopped = false;
-    asio::co_spawn(context, stop(*server, test_limit, stopped), asio::detached);
+    asio::co_spawn(
+        context, stop(*server, test_timeout, stopped), asio::detached);
     co_await next_frame_of(socket, goaway_frame);
     const auto crossing = ping_answer(before) + first_request();
     co_await asio::async_write(
         socket, asio::buffer(crossing), asio::use_awaitable);
 
     const auto asked = co_await next_frame_of(socket, ping_frame);
-    auto told = co_await next_frame(socket);
-    while (told.type != headers_frame && told.type != goaway_frame)
+    auto observed = co_await next_frame(socket);
+    while (observed.type != headers_frame && observed.type != goaway_frame)
     {
-        told = co_await next_frame(socket);
+        observed = co_await next_frame(socket);
     }
     EXPECT_EQ(handled, 1);
-    EXPECT_EQ(told.type, headers_frame)
-        << "refused after stream " << int{told.payload.at(3)};
+    EXPECT_EQ(observed.type, headers_frame)
+        << "refused after stream " << int{observed.payload.at(3)};
 
     const auto confirmed = ping_answer(asked);
     co_await asio::async_write(
@@ -265,7 +267,7 @@
     {
         return stopped;
     };
-    co_await until(has_stopped);
+    co_await poll_until(has_stopped);
 }
 
 TEST(server, a_stop_refuses_no_request_that_it_runs)
@@ -280,13 +282,15 @@
 protected:
     void SetUp() override
     {
-        listening = listen_or_fail(there, echo);
-        const auto made = spawn(
-            here,
+        listening = listen_or_fail(server_context, echo);
+        const auto connected = spawn(
+            client_context,
             client_session::connect(
-                here, listening->local_endpoint(), session_options{}));
-        ASSERT_TRUE(run_until(made, here, there));
-        session = *made->value();
+                client_context,
+                listening->local_endpoint(),
+                session_options{}));
+        ASSERT_TRUE(run_until(connected, client_context, server_context));
+        session = *connected->value();
     }
 
     template <class T>
@@ -308,27 +312,27 @@
     template <class T, class... Loops>
     static bool run_until(const result<T>& done, Loops&... loops)
     {
-        const auto limit = std::chrono::steady_clock::now() + test_limit;
+        const auto limit = std::chrono::steady_clock::now() + test_timeout;
         while (!*done && std::chrono::steady_clock::now() < limit)
         {
-            (run_a_little(loops), ...);
+            (run_for_one_ms(loops), ...);
         }
         return done->has_value();
     }
 
-    static void run_a_little(asio::io_context& loop)
+    static void run_for_one_ms(asio::io_context& loop)
     {
         loop.restart();
         loop.run_for(std::chrono::milliseconds(1));
     }
 
     // What becomes of a request that the peer sends now.
-    outcome<std::string, stream_failure> ask()
+    outcome<std::string, stream_failure> send_request()
     {
         const auto opened = session->open(get("/"), true);
         EXPECT_TRUE(opened);
-        const auto answer = spawn(here, finish(**opened));
-        EXPECT_TRUE(run_until(answer, here));
+        const auto answer = spawn(client_context, read_response(**opened));
+        EXPECT_TRUE(run_until(answer, client_context));
         return answer->value();
     }
 
@@ -338,18 +342,18 @@
         co_return true;
     }
 
-    asio::io_context here{1};
-    asio::io_context there{1};
+    asio::io_context client_context{1};
+    asio::io_context server_context{1};
     std::unique_ptr<server> listening;
     std::shared_ptr<client_session> session;
 };
 
 TEST_F(paused_peer, knows_that_a_request_after_the_stop_did_not_run)
 {
-    const auto stopped =
-        spawn(there, stop_within(*listening, std::chrono::milliseconds(20)));
-    ASSERT_TRUE(run_until(stopped, there));
-    const auto answer = ask();
+    const auto stopped = spawn(
+        server_context, stop_within(*listening, std::chrono::milliseconds(20)));
+    ASSERT_TRUE(run_until(stopped, server_context));
+    const auto answer = send_request();
     ASSERT_FALSE(answer);
     EXPECT_EQ(answer.error(), stream_failure::refused);
 }
@@ -358,11 +362,11 @@
 {
     const auto opened = session->open(get("/"), true);
     ASSERT_TRUE(opened);
-    const auto answer = spawn(here, finish(**opened));
+    const auto answer = spawn(client_context, read_response(**opened));
     // It is sent, and the server's loop doesn't run any more.
-    run_a_little(here);
+    run_for_one_ms(client_context);
     listening.reset();
-    ASSERT_TRUE(run_until(answer, here));
+    ASSERT_TRUE(run_until(answer, client_context));
     ASSERT_FALSE(answer->value());
     EXPECT_EQ(answer->value().error(), stream_failure::refused);
 }
@@ -372,25 +376,25 @@
 {
     const auto opened = session->open(post("/"), false);
     ASSERT_TRUE(opened);
-    const auto answer = spawn(here, finish(**opened));
-    const auto limit = std::chrono::steady_clock::now() + test_limit;
+    const auto answer = spawn(client_context, read_response(**opened));
+    const auto limit = std::chrono::steady_clock::now() + test_timeout;
     while (listening->open_streams() == 0 &&
            std::chrono::steady_clock::now() < limit)
     {
-        run_a_little(here);
-        run_a_little(there);
+        run_for_one_ms(client_context);
+        run_for_one_ms(server_context);
     }
     ASSERT_EQ(listening->open_streams(), 1U);
     listening.reset();
-    ASSERT_TRUE(run_until(answer, here));
+    ASSERT_TRUE(run_until(answer, client_context));
     ASSERT_FALSE(answer->value());
     EXPECT_EQ(answer->value().error(), stream_failure::cut);
 }
 
-asio::awaitable<void> end_of_sessions(asio::io_context& context)
+asio::awaitable<void> close_idle_and_busy_sessions(asio::io_context& context)
 {
     gate watched;
-    const auto server = listen_or_fail(context, behind(watched));
+    const auto server = listen_or_fail(context, gated_echo(watched));
     const auto busy = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     const auto idle = co_await client_session::connect(
@@ -402,31 +406,31 @@
     {
         return watched.entered == 1;
     };
-    co_await until(entered);
-    server->end_sessions();
+    co_await poll_until(entered);
+    server->close_unconfirmed_sessions();
     const auto late = (*idle)->open(get("/"), true);
     EXPECT_TRUE(late);
-    const auto refused = co_await finish(**late);
+    const auto refused = co_await read_response(**late);
     EXPECT_FALSE(refused);
     EXPECT_EQ(refused.error(), stream_failure::refused);
     watched.open = true;
-    const auto answer = co_await finish(**begun);
+    const auto answer = co_await read_response(**begun);
     EXPECT_TRUE(answer);
     EXPECT_EQ(watched.entered, 1);
     const auto all_closed = [&server]
     {
         return server->connections() == 0;
     };
-    co_await until(all_closed);
+    co_await poll_until(all_closed);
 }
 
-TEST(server, the_end_of_its_sessions_leaves_those_with_work)
+TEST(server, closing_unconfirmed_sessions_serves_streams_already_read)
 {
     asio::io_context context(1);
-    run(context, end_of_sessions(context));
+    run(context, close_idle_and_busy_sessions(context));
 }
 
-asio::awaitable<void> answers_of_given_up(asio::io_context& context)
+asio::awaitable<void> answer_after_give_up(asio::io_context& context)
 {
     int entered = 0;
     const auto serve =
@@ -459,7 +463,7 @@
     {
         return entered == 1;
     };
-    co_await until(begun);
+    co_await poll_until(begun);
     server->give_up();
     const auto head = co_await (*stream)->read_head();
     EXPECT_TRUE(head);
@@ -467,10 +471,10 @@
 }
 
 // Calls of other daemons were cut at the limit of a stop.
-TEST(server, what_it_gives_up_may_still_be_answered)
+TEST(server, a_handler_may_answer_after_give_up)
 {
     asio::io_context context(1);
-    run(context, answers_of_given_up(context));
+    run(context, answer_after_give_up(context));
 }
 
 } // namespace
--- a/nutmegusher/wire/server_test.cpp
+++ b/nutmegusher/wire/server_test.cpp
@@ -8,7 +8,7 @@
 asio::awaitable<void> cancel_reaches_handler(asio::io_context& context)
 {
     gate watched;
-    const auto server = listen_or_fail(context, behind(watched));
+    const auto server = listen_or_fail(context, gated_echo(watched));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -19,31 +19,31 @@
         {
             return watched.entered == 1;
         };
-        co_await until(entered);
+        co_await poll_until(entered);
     }
-    const auto told = [&watched]
+    const auto cancelled_once = [&watched]
     {
         return watched.cancelled == 1;
     };
-    co_await until(told);
+    co_await poll_until(cancelled_once);
     const auto lost = (*session)->open(get("/"), true);
     EXPECT_TRUE(lost);
     const auto entered_again = [&watched]
     {
         return watched.entered == 2;
     };
-    co_await until(entered_again);
+    co_await poll_until(entered_again);
     (*session)->close();
-    const auto told_again = [&watched]
+    const auto cancelled_twice = [&watched]
     {
         return watched.cancelled == 2;
     };
-    co_await until(told_again);
+    co_await poll_until(cancelled_twice);
     const auto none_open = [&server]
     {
         return server->open_streams() == 0;
     };
-    co_await until(none_open);
+    co_await poll_until(none_open);
 }
 
 TEST(server, a_dropped_stream_and_a_lost_connection_cancel_the_handler)
@@ -71,7 +71,7 @@
     {
         const auto stream = (*session)->open(get(path), true);
         EXPECT_TRUE(stream);
-        const auto answer = co_await finish(**stream);
+        const auto answer = co_await read_response(**stream);
         EXPECT_FALSE(answer);
         EXPECT_EQ(answer.error(), stream_failure::reset);
     }
@@ -88,7 +88,7 @@
     gate watched;
     session_options few;
     few.max_concurrent_streams = 3;
-    const auto server = listen_or_fail(context, behind(watched), few);
+    const auto server = listen_or_fail(context, gated_echo(watched), few);
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -127,7 +127,7 @@
         {
             return finish_all;
         };
-        co_await until(allowed);
+        co_await poll_until(allowed);
         --running;
     };
     session_options few;
@@ -147,7 +147,7 @@
         {
             return (*session)->open_streams() == 0;
         };
-        co_await until(client_has_none);
+        co_await poll_until(client_has_none);
     }
     EXPECT_LE(most, 20U);
     EXPECT_GE(most, 10U);
@@ -156,7 +156,7 @@
     {
         return running == 0;
     };
-    co_await until(none_running);
+    co_await poll_until(none_running);
 }
 
 TEST(server, streams_reset_at_once_start_a_bounded_number_of_handlers)
@@ -174,7 +174,7 @@
     tcp::socket socket(context);
     co_await socket.async_connect(
         server->local_endpoint(), asio::use_awaitable);
-    auto bytes = client_greeting();
+    auto bytes = client_preface();
     for (int i = 0; i < 100; ++i)
     {
         bytes += frame;
@@ -185,7 +185,7 @@
     {
         return server->connections() == 0;
     };
-    co_await until(closed);
+    co_await poll_until(closed);
 }
 
 TEST(server, a_flood_of_pings_closes_the_connection)
@@ -219,16 +219,16 @@
     {
         return server->connections() > 0;
     };
-    co_await until(some_connected);
+    co_await poll_until(some_connected);
     EXPECT_LE(server->connections(), 2U);
     const auto none_connected = [&server]
     {
         return server->connections() == 0;
     };
-    co_await until(none_connected);
+    co_await poll_until(none_connected);
 }
 
-TEST(server, connections_are_limited_and_must_speak_in_time)
+TEST(server, connections_are_limited_and_need_a_timely_handshake)
 {
     asio::io_context context(1);
     run(context, silent_from_the_start(context));
--- a/nutmegusher/wire/session_options.hpp
+++ b/nutmegusher/wire/session_options.hpp
@@ -21,42 +21,42 @@
     // streams, until something is received again. Above two retransmission
     // timeouts of TCP (200 ms and 400 ms), so that one lost packet isn't
     // taken for silence.
-    duration silence_limit = std::chrono::seconds(1);
+    duration silence_timeout = std::chrono::seconds(1);
     // The same while a stream waits for an answer that is due soon, and then
     // its streams that can be sent again elsewhere fail with `silent` as soon
     // as the session is suspect: of a call's time limit, 0.7 s and more at the
     // users', enough is left to run it. Above one retransmission timeout of
     // TCP; a second packet lost in a row costs a repeat.
-    duration near_ping_interval = std::chrono::milliseconds(150);
-    duration near_silence_limit = std::chrono::milliseconds(300);
+    duration urgent_ping_interval = std::chrono::milliseconds(150);
+    duration urgent_silence_timeout = std::chrono::milliseconds(300);
     // A peer that was heard from so lately is taken to be there: see
     // `client_session::confirm`. Far below the time in which a silent session
     // is found out, and above the pauses of a busy one.
-    duration heard_lately = std::chrono::milliseconds(50);
+    duration recent_receive_window = std::chrono::milliseconds(50);
     // How long `confirm` waits. Above a round trip between regions; several
     // hosts that are gone may have to be asked within one call's target. A lost
     // packet that TCP repeats after 200 ms costs the choice of another peer.
-    duration confirm_limit = std::chrono::milliseconds(150);
+    duration confirm_timeout = std::chrono::milliseconds(150);
     // Hosts are lost together, as a rack or a data centre: so long after one
     // was, others that weren't heard from since may be gone as well. Above the
     // time in which TCP and the ticks find a silent session out.
-    duration loss_memory = std::chrono::seconds(3);
+    duration loss_retention = std::chrono::seconds(3);
     // Suspect for so long: the open streams fail with `silent` and the
     // connection is closed.
-    duration give_up_limit = std::chrono::seconds(2);
+    duration give_up_timeout = std::chrono::seconds(2);
     // From the start of connecting to the peer's SETTINGS.
     duration connect_timeout = std::chrono::seconds(1);
     // Of that, for the connection itself. A host without power drops the first
     // packet, and TCP sends the next one after a second: a new connect finds
     // the host up to 0.7 s sooner. Seven round trips between regions.
-    duration reach_timeout = std::chrono::milliseconds(300);
+    duration tcp_connect_timeout = std::chrono::milliseconds(300);
     // After a connect failed the pool fails the same endpoint at once for so
     // long, so that callers move on to another upstream.
     duration connect_backoff = std::chrono::milliseconds(100);
     // A client session without a stream for so long is closed.
-    duration idle_limit = std::chrono::seconds(60);
+    duration idle_timeout = std::chrono::seconds(60);
     // How long the close waits for the peer to see the last bytes.
-    duration linger_limit = std::chrono::seconds(1);
+    duration linger_timeout = std::chrono::seconds(1);
 
     // What a peer may send on one stream before it is read: 1 Gbit/s times
     // the 2 ms round trip between data centres, which is 250 KB.
@@ -65,7 +65,7 @@
     // memory of one connection.
     std::uint32_t connection_window = 1024 * 1024;
     // Bytes that one stream's writer may leave to be sent.
-    std::size_t write_buffer = 64 * 1024;
+    std::size_t max_write_buffer_bytes = 64 * 1024;
     // Streams that the peer may have open at once; more are refused.
     std::uint32_t max_concurrent_streams = 256;
     // Names and values of one head, with 32 bytes for each field.
--- a/nutmegusher/wire/session_pool.cpp
+++ b/nutmegusher/wire/session_pool.cpp
@@ -39,7 +39,7 @@
     std::list<signal*> waiters;
     bool connecting = false;
     // How many connects have ended, and how the last one did.
-    std::uint64_t connects = 0;
+    std::uint64_t finished_connects = 0;
     std::optional<stream_failure> last_failure;
     time_point failed_at;
 };
@@ -52,7 +52,7 @@
         asio::io_context& context, std::shared_ptr<pool_entry> entry)
         : entry_(std::move(entry))
         , signal_(context)
-        , place_(entry_->waiters.insert(entry_->waiters.end(), &signal_))
+        , position_(entry_->waiters.insert(entry_->waiters.end(), &signal_))
     {
     }
 
@@ -61,7 +61,7 @@
 
     ~registered_waiter()
     {
-        entry_->waiters.erase(place_);
+        entry_->waiters.erase(position_);
     }
 
     [[nodiscard]] signal& wait_on()
@@ -72,7 +72,7 @@
 private:
     std::shared_ptr<pool_entry> entry_;
     signal signal_;
-    std::list<signal*>::iterator place_;
+    std::list<signal*>::iterator position_;
 };
 
 class pool_state : public std::enable_shared_from_this<pool_state>
@@ -92,16 +92,16 @@
         {
             co_return found;
         }
-        const auto entry = entry_of(key);
-        const auto connects_before = entry->connects;
+        const auto entry = find_or_create_entry(key);
+        const auto connects_before = entry->finished_connects;
         while (!closed_)
         {
-            found = pick(*entry);
+            found = first_available(*entry);
             if (found)
             {
                 co_return found;
             }
-            const bool tried = entry->connects != connects_before;
+            const bool tried = entry->finished_connects != connects_before;
             if (entry->last_failure && (tried || failed_recently(*entry)))
             {
                 co_return *entry->last_failure;
@@ -113,11 +113,11 @@
             start_connect(key, entry);
             registered_waiter waiter(context_, entry);
             const auto woken = co_await waiter.wait_on().wait_until(deadline);
-            if (woken == wake::timed_out)
+            if (woken == wait_result::timed_out)
             {
                 co_return stream_failure::timed_out;
             }
-            if (woken == wake::cancelled)
+            if (woken == wait_result::cancelled)
             {
                 co_return stream_failure::cancelled;
             }
@@ -128,7 +128,8 @@
     [[nodiscard]] session_ptr find(const pool_key& key) const
     {
         const auto found = entries_.find(key);
-        return found == entries_.end() ? nullptr : pick(*found->second);
+        return found == entries_.end() ? nullptr
+                                       : first_available(*found->second);
     }
 
     void close()
@@ -141,7 +142,7 @@
         }
     }
 
-    void forget(const tcp::endpoint& peer)
+    void remove_endpoint(const tcp::endpoint& peer)
     {
         std::erase_if(
             entries_,
@@ -155,13 +156,13 @@
 
     void note_loss()
     {
-        lost_at_ = std::chrono::steady_clock::now();
+        last_loss_at_ = std::chrono::steady_clock::now();
     }
 
-    [[nodiscard]] bool has_lost_lately() const
+    [[nodiscard]] bool had_recent_loss() const
     {
         const auto now = std::chrono::steady_clock::now();
-        return lost_at_ && now - *lost_at_ < options_.loss_memory;
+        return last_loss_at_ && now - *last_loss_at_ < options_.loss_retention;
     }
 
     [[nodiscard]] std::size_t sessions() const
@@ -177,21 +178,21 @@
 private:
     // The first one that can: the later ones fall idle as load falls, and are
     // closed.
-    [[nodiscard]] static session_ptr pick(const pool_entry& entry)
+    [[nodiscard]] static session_ptr first_available(const pool_entry& entry)
     {
-        const auto takes_a_stream = [](const session_ptr& one)
+        const auto is_available = [](const session_ptr& candidate)
         {
-            return one->usable() && one->has_free_stream();
+            return candidate->usable() && candidate->has_free_stream();
         };
-        const auto found = std::ranges::find_if(entry.sessions, takes_a_stream);
+        const auto found = std::ranges::find_if(entry.sessions, is_available);
         return found == entry.sessions.end() ? nullptr : *found;
     }
 
     [[nodiscard]] static std::size_t usable_sessions(const pool_entry& entry)
     {
-        const auto usable = [](const session_ptr& one)
+        const auto usable = [](const session_ptr& candidate)
         {
-            return one->usable();
+            return candidate->usable();
         };
         return static_cast<std::size_t>(
             std::ranges::count_if(entry.sessions, usable));
@@ -205,14 +206,15 @@
         }
     }
 
-    [[nodiscard]] std::shared_ptr<pool_entry> entry_of(const pool_key& key)
+    [[nodiscard]] std::shared_ptr<pool_entry>
+    find_or_create_entry(const pool_key& key)
     {
         const auto found = entries_.find(key);
         if (found != entries_.end())
         {
             return found->second;
         }
-        drop_unused();
+        erase_unused_entries();
         auto& entry = entries_[key];
         entry = std::make_shared<pool_entry>();
         return entry;
@@ -243,18 +245,18 @@
         pool_key key,
         std::shared_ptr<pool_entry> entry)
     {
-        const auto made = co_await client_session::connect(
+        const auto connected = co_await client_session::connect(
             self->context_, key.peer, self->options_);
         entry->connecting = false;
-        ++entry->connects;
-        if (made)
+        ++entry->finished_connects;
+        if (connected)
         {
             entry->last_failure.reset();
-            self->add(entry, *made);
+            self->add(entry, *connected);
         }
         else
         {
-            entry->last_failure = made.error();
+            entry->last_failure = connected.error();
             entry->failed_at = std::chrono::steady_clock::now();
         }
         wake_all(*entry);
@@ -266,7 +268,8 @@
         entry->sessions.push_back(session);
         const std::weak_ptr<pool_state> weak_self = weak_from_this();
         const std::weak_ptr<pool_entry> weak_entry = entry;
-        const auto closed = [weak_self, weak_entry, which = session.get()]
+        const auto closed =
+            [weak_self, weak_entry, closed_session = session.get()]
         {
             const auto self = weak_self.lock();
             const auto entry = weak_entry.lock();
@@ -274,12 +277,13 @@
             {
                 return;
             }
-            const auto is_it = [which](const session_ptr& one)
+            const auto is_closed_session =
+                [closed_session](const session_ptr& candidate)
             {
-                return one.get() == which;
+                return candidate.get() == closed_session;
             };
-            std::erase_if(entry->sessions, is_it);
-            self->drop_unused();
+            std::erase_if(entry->sessions, is_closed_session);
+            self->erase_unused_entries();
         };
         session->on_closed(closed);
     }
@@ -292,7 +296,7 @@
                entry.waiters.empty() && !failed_recently(entry);
     }
 
-    void drop_unused()
+    void erase_unused_entries()
     {
         const auto unused = [this](const auto& item)
         {
@@ -304,7 +308,7 @@
     asio::io_context& context_;
     session_options options_;
     std::map<pool_key, std::shared_ptr<pool_entry>> entries_;
-    std::optional<time_point> lost_at_;
+    std::optional<time_point> last_loss_at_;
     bool closed_ = false;
 };
 
@@ -341,9 +345,9 @@
     state_->note_loss();
 }
 
-bool session_pool::has_lost_lately() const
+bool session_pool::had_recent_loss() const
 {
-    return state_->has_lost_lately();
+    return state_->had_recent_loss();
 }
 
 std::size_t session_pool::sessions() const
@@ -351,9 +355,9 @@
     return state_->sessions();
 }
 
-void session_pool::forget(const boost::asio::ip::tcp::endpoint& peer)
+void session_pool::remove_endpoint(const boost::asio::ip::tcp::endpoint& peer)
 {
-    state_->forget(peer);
+    state_->remove_endpoint(peer);
 }
 
 } // namespace nutmegusher::wire
--- a/nutmegusher/wire/session_pool.hpp
+++ b/nutmegusher/wire/session_pool.hpp
@@ -49,16 +49,17 @@
     // reached.
     void note_loss();
 
-    // One was within `loss_memory`, and others may have gone with it: requests
-    // are better sent to peers that `client_session::confirm` vouches for.
-    [[nodiscard]] bool has_lost_lately() const;
+    // One was within `loss_retention`, and others may have gone with it:
+    // requests are better sent to peers that `client_session::confirm` vouches
+    // for.
+    [[nodiscard]] bool had_recent_loss() const;
 
     // Sessions that are open, also suspect ones.
     [[nodiscard]] std::size_t sessions() const;
 
     // Closes the idle sessions to `peer`, and the others when their streams
     // are finished: for an upstream that has left.
-    void forget(const boost::asio::ip::tcp::endpoint& peer);
+    void remove_endpoint(const boost::asio::ip::tcp::endpoint& peer);
 
 private:
     std::shared_ptr<internal::pool_state> state_;
--- a/nutmegusher/wire/session_pool_test.cpp
+++ b/nutmegusher/wire/session_pool_test.cpp
@@ -13,7 +13,7 @@
     all.push_back(session->get());
 }
 
-asio::awaitable<void> share(asio::io_context& context)
+asio::awaitable<void> concurrent_gets(asio::io_context& context)
 {
     const auto server = listen_or_fail(context, echo);
     session_pool pool(context, session_options{});
@@ -29,7 +29,7 @@
     {
         return all.size() == 20;
     };
-    co_await until(all_have_one);
+    co_await poll_until(all_have_one);
     EXPECT_EQ(std::ranges::count(all, all.front()), 20);
     EXPECT_EQ(pool.sessions(), 1U);
     const auto bulk =
@@ -42,16 +42,16 @@
 TEST(session_pool, callers_share_one_connect_but_not_with_transfers)
 {
     asio::io_context context(1);
-    run(context, share(context));
+    run(context, concurrent_gets(context));
 }
 
-asio::awaitable<void> hold(std::shared_ptr<server_stream> stream)
+asio::awaitable<void> wait_for_cancel(std::shared_ptr<server_stream> stream)
 {
     const auto cancelled = [stream]
     {
         return stream->cancelled();
     };
-    co_await until(cancelled);
+    co_await poll_until(cancelled);
 }
 
 asio::awaitable<void> full_sessions(asio::io_context& context)
@@ -59,7 +59,7 @@
     session_options few;
     few.max_concurrent_streams = 2;
     few.max_sessions_per_endpoint = 3;
-    const auto server = listen_or_fail(context, hold, few);
+    const auto server = listen_or_fail(context, wait_for_cancel, few);
     session_pool pool(context, few);
     std::vector<std::unique_ptr<client_stream>> held;
     for (int i = 0; i < 6; ++i)
@@ -79,7 +79,7 @@
     {
         return pool.find(server->local_endpoint()) != nullptr;
     };
-    co_await until(last);
+    co_await poll_until(last);
 }
 
 TEST(session_pool, another_session_is_opened_where_all_are_full)
@@ -93,24 +93,24 @@
     session_options quick;
     quick.ping_interval = std::chrono::milliseconds(10);
     quick.idle_ping_interval = std::chrono::milliseconds(20);
-    quick.idle_limit = std::chrono::milliseconds(60);
+    quick.idle_timeout = std::chrono::milliseconds(60);
     const auto server = listen_or_fail(context, echo);
     session_pool pool(context, quick);
     const auto first =
-        co_await call(pool, server->local_endpoint(), "/", "one", test_limit);
+        co_await call(pool, server->local_endpoint(), "/", "one", test_timeout);
     EXPECT_EQ(first, std::string("one"));
     const auto none_pooled = [&pool]
     {
         return pool.sessions() == 0;
     };
-    co_await until(none_pooled);
+    co_await poll_until(none_pooled);
     const auto none_connected = [&server]
     {
         return server->connections() == 0;
     };
-    co_await until(none_connected);
+    co_await poll_until(none_connected);
     const auto second =
-        co_await call(pool, server->local_endpoint(), "/", "two", test_limit);
+        co_await call(pool, server->local_endpoint(), "/", "two", test_timeout);
     EXPECT_EQ(second, std::string("two"));
 }
 
@@ -144,11 +144,11 @@
     run(context, nobody_listens(context));
 }
 
-asio::awaitable<void> patience(asio::io_context& context)
+asio::awaitable<void> caller_deadline(asio::io_context& context)
 {
     const tcp::acceptor acceptor(context, any_port());
     session_options slow;
-    slow.connect_timeout = test_limit;
+    slow.connect_timeout = test_timeout;
     session_pool pool(context, slow);
     const auto answer = co_await call(
         pool,
@@ -163,14 +163,14 @@
 TEST(session_pool, a_caller_waits_for_a_connect_until_its_own_deadline_only)
 {
     asio::io_context context(1);
-    run(context, patience(context));
+    run(context, caller_deadline(context));
 }
 
 // A listener that drops further connections, as a host without power does.
-class deaf_listener
+class full_backlog_listener
 {
 public:
-    explicit deaf_listener(asio::io_context& context)
+    explicit full_backlog_listener(asio::io_context& context)
         : acceptor_(context)
         , first_(context)
     {
@@ -191,9 +191,9 @@
     tcp::socket first_;
 };
 
-asio::awaitable<void> out_of_reach(asio::io_context& context)
+asio::awaitable<void> unreachable_peer(asio::io_context& context)
 {
-    const deaf_listener peer(context);
+    const full_backlog_listener peer(context);
     session_pool pool(context, session_options{});
     const auto begin = std::chrono::steady_clock::now();
     const auto session = co_await pool.get(peer.address());
@@ -203,15 +203,15 @@
     EXPECT_LT(spent, session_options().connect_timeout);
 }
 
-TEST(session_pool, a_peer_that_is_out_of_reach_is_given_up_before_tcp_repeats)
+TEST(session_pool, an_unreachable_peer_times_out_before_tcp_retransmits)
 {
     asio::io_context context(1);
-    run(context, out_of_reach(context));
+    run(context, unreachable_peer(context));
 }
 
-asio::awaitable<void> left_upstream(asio::io_context& context)
+asio::awaitable<void> removed_endpoint(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, hold);
+    const auto server = listen_or_fail(context, wait_for_cancel);
     session_pool pool(context, session_options{});
     const auto peer = server->local_endpoint();
     {
@@ -223,8 +223,8 @@
         {
             return server->open_streams() == 1;
         };
-        co_await until(one_open);
-        pool.forget(peer);
+        co_await poll_until(one_open);
+        pool.remove_endpoint(peer);
         EXPECT_EQ(pool.sessions(), 0U);
         EXPECT_EQ((*session)->open_streams(), 1U);
         EXPECT_EQ(server->open_streams(), 1U);
@@ -233,13 +233,13 @@
     {
         return server->connections() == 0;
     };
-    co_await until(none_connected);
+    co_await poll_until(none_connected);
 }
 
-TEST(session_pool, a_forgotten_peer_keeps_its_streams_until_they_end)
+TEST(session_pool, a_removed_endpoint_keeps_its_streams_until_they_end)
 {
     asio::io_context context(1);
-    run(context, left_upstream(context));
+    run(context, removed_endpoint(context));
 }
 
 asio::awaitable<void> answers(asio::io_context& context)
@@ -260,11 +260,11 @@
     const auto peer = server->local_endpoint();
     session_pool pool(context, session_options{});
     const auto body = make_body(9, 300000);
-    const auto answer = co_await call(pool, peer, "/echo", body, test_limit);
+    const auto answer = co_await call(pool, peer, "/echo", body, test_timeout);
     EXPECT_TRUE(answer == body);
     EXPECT_EQ(
-        co_await call(pool, peer, "/echo", "", test_limit), std::string());
-    const auto unknown = co_await call(pool, peer, "/none", "", test_limit);
+        co_await call(pool, peer, "/echo", "", test_timeout), std::string());
+    const auto unknown = co_await call(pool, peer, "/none", "", test_timeout);
     EXPECT_FALSE(unknown);
     EXPECT_EQ(unknown.error(), stream_failure::bad_status);
 }
--- a/nutmegusher/wire/session_test.cpp
+++ b/nutmegusher/wire/session_test.cpp
@@ -28,51 +28,51 @@
     co_return co_await read_all(stream);
 }
 
-struct echo_tally
+struct echo_counts
 {
     int whole = 0;
     int ended = 0;
 };
 
-asio::awaitable<void>
-expect_own_echo(client_session& session, std::uint64_t seed, echo_tally& tally)
+asio::awaitable<void> expect_own_echo(
+    client_session& session, std::uint64_t seed, echo_counts& counts)
 {
     const auto size = 1 + seed * 7919 % 40000;
     const auto body = make_body(seed, size);
     const auto answer = co_await echo_once(session, body);
-    tally.whole += answer && *answer == body ? 1 : 0;
-    ++tally.ended;
+    counts.whole += answer && *answer == body ? 1 : 0;
+    ++counts.ended;
 }
 
-asio::awaitable<void> interleave(asio::io_context& context, int streams)
+asio::awaitable<void> concurrent_echoes(asio::io_context& context, int streams)
 {
     const auto server = listen_or_fail(context, echo);
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
-    echo_tally tally;
+    echo_counts counts;
     for (int i = 0; i < streams; ++i)
     {
         const auto seed = static_cast<std::uint64_t>(i);
         asio::co_spawn(
-            context, expect_own_echo(**session, seed, tally), asio::detached);
+            context, expect_own_echo(**session, seed, counts), asio::detached);
     }
-    const auto all_ended = [&tally, streams]
+    const auto all_ended = [&counts, streams]
     {
-        return tally.ended == streams;
+        return counts.ended == streams;
     };
-    co_await until(all_ended);
-    EXPECT_EQ(tally.whole, streams);
+    co_await poll_until(all_ended);
+    EXPECT_EQ(counts.whole, streams);
 }
 
 TEST(session, each_of_many_streams_gets_its_own_whole_answer)
 {
     asio::io_context context(1);
-    run(context, interleave(context, 200));
+    run(context, concurrent_echoes(context, 200));
 }
 
 // Answers with the path, and with each field of the request.
-asio::awaitable<void> reflect(std::shared_ptr<server_stream> stream)
+asio::awaitable<void> return_request_head(std::shared_ptr<server_stream> stream)
 {
     response_head head;
     head.status = 203;
@@ -84,7 +84,7 @@
 
 asio::awaitable<void> heads(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, reflect);
+    const auto server = listen_or_fail(context, return_request_head);
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -113,7 +113,7 @@
 {
     session_options narrow;
     narrow.max_header_bytes = 1024;
-    const auto server = listen_or_fail(context, reflect, narrow);
+    const auto server = listen_or_fail(context, return_request_head, narrow);
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -168,20 +168,20 @@
 
 asio::awaitable<void> deadline(asio::io_context& context)
 {
-    bool told = false;
-    const auto serve =
-        [&told](std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
+    bool cancel_reported = false;
+    const auto serve = [&cancel_reported](std::shared_ptr<server_stream> stream)
+        -> asio::awaitable<void>
     {
         stream->on_cancelled(
-            [&told]
+            [&cancel_reported]
             {
-                told = true;
+                cancel_reported = true;
             });
         const auto cancelled = [stream]
         {
             return stream->cancelled();
         };
-        co_await until(cancelled);
+        co_await poll_until(cancelled);
     };
     const auto server = listen_or_fail(context, serve);
     const auto session = co_await client_session::connect(
@@ -193,16 +193,16 @@
     const auto head = co_await (*stream)->read_head();
     EXPECT_FALSE(head);
     EXPECT_EQ(head.error(), stream_failure::timed_out);
-    const auto was_told = [&told]
+    const auto was_cancelled = [&cancel_reported]
     {
-        return told;
+        return cancel_reported;
     };
-    co_await until(was_told);
+    co_await poll_until(was_cancelled);
     const auto none_open = [&server]
     {
         return server->open_streams() == 0;
     };
-    co_await until(none_open);
+    co_await poll_until(none_open);
 }
 
 TEST(session, a_stream_past_its_deadline_fails_and_stops_the_handler)
@@ -244,12 +244,12 @@
     {
         return server->open_streams() == 0;
     };
-    co_await until(none_open);
+    co_await poll_until(none_open);
     const auto client_has_none = [&session]
     {
         return (*session)->open_streams() == 0;
     };
-    co_await until(client_has_none);
+    co_await poll_until(client_has_none);
 }
 
 TEST(session, an_answer_before_the_end_of_the_request_arrives_whole)
@@ -281,17 +281,17 @@
     {
         return (*session)->open_streams() == 0;
     };
-    co_await until(client_has_none);
+    co_await poll_until(client_has_none);
     const auto none_open = [&server]
     {
         return server->open_streams() == 0;
     };
-    co_await until(none_open);
+    co_await poll_until(none_open);
     EXPECT_TRUE((*session)->usable());
     EXPECT_EQ(co_await echo_once(**session, "after"), std::string("after"));
 }
 
-TEST(session, cancelled_streams_leave_nothing_behind)
+TEST(session, cancelled_streams_are_released_on_both_ends)
 {
     asio::io_context context(1);
     run(context, many_cancelled(context));
@@ -306,7 +306,7 @@
 
 // What is suspended when the loop goes away is destroyed with it; the
 // sanitizers watch.
-TEST(session, a_loop_that_goes_away_takes_its_streams_along)
+TEST(session, destroying_the_io_context_destroys_suspended_streams)
 {
     asio::io_context context(1);
     const auto server = listen_or_fail(context, never_ends);
@@ -326,7 +326,7 @@
         {
             return running.open_streams() == 1;
         };
-        co_await until(one_open);
+        co_await poll_until(one_open);
     };
     run(context, wait(*server));
 }
--- a/nutmegusher/wire/signal.cpp
+++ b/nutmegusher/wire/signal.cpp
@@ -15,7 +15,7 @@
     co_return state.cancelled() == asio::cancellation_type::none;
 }
 
-asio::awaitable<wake>
+asio::awaitable<wait_result>
 signal::wait_until(std::chrono::steady_clock::time_point deadline)
 {
     timer_.expires_at(deadline);
@@ -24,9 +24,9 @@
     const auto state = co_await asio::this_coro::cancellation_state;
     if (state.cancelled() != asio::cancellation_type::none)
     {
-        co_return wake::cancelled;
+        co_return wait_result::cancelled;
     }
-    co_return error ? wake::notified : wake::timed_out;
+    co_return error ? wait_result::notified : wait_result::timed_out;
 }
 
 } // namespace nutmegusher::wire::internal
--- a/nutmegusher/wire/signal.hpp
+++ b/nutmegusher/wire/signal.hpp
@@ -11,7 +11,7 @@
 namespace nutmegusher::wire::internal
 {
 
-enum class wake : std::uint8_t
+enum class wait_result : std::uint8_t
 {
     notified,
     timed_out,
@@ -34,7 +34,7 @@
     [[nodiscard]] asio::awaitable<bool> wait();
 
     // Waits until `deadline` at most. Requires: nobody else waits.
-    [[nodiscard]] asio::awaitable<wake>
+    [[nodiscard]] asio::awaitable<wait_result>
     wait_until(std::chrono::steady_clock::time_point deadline);
 
     // All that wait go on, in a later turn of the loop.
--- a/nutmegusher/wire/silence_test.cpp
+++ b/nutmegusher/wire/silence_test.cpp
@@ -6,13 +6,13 @@
 namespace
 {
 
-session_options quick_times()
+session_options quick_options()
 {
     session_options options;
     options.ping_interval = std::chrono::milliseconds(20);
     options.idle_ping_interval = std::chrono::milliseconds(100);
-    options.silence_limit = std::chrono::milliseconds(100);
-    options.give_up_limit = std::chrono::milliseconds(100);
+    options.silence_timeout = std::chrono::milliseconds(100);
+    options.give_up_timeout = std::chrono::milliseconds(100);
     return options;
 }
 
@@ -23,16 +23,17 @@
     {
         return stream->cancelled();
     };
-    co_await until(cancelled);
+    co_await poll_until(cancelled);
 }
 
 asio::awaitable<void> request_on_silent_connection(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, wait_for_cancel, quick_times());
+    const auto server =
+        listen_or_fail(context, wait_for_cancel, quick_options());
     tcp_relay relay(context, server->local_endpoint());
     // Suspect long before it is given up.
-    auto options = quick_times();
-    options.give_up_limit = std::chrono::seconds(1);
+    auto options = quick_options();
+    options.give_up_timeout = std::chrono::seconds(1);
     session_pool pool(context, options);
     const auto first = co_await pool.get(relay.endpoint());
     EXPECT_TRUE(first);
@@ -42,14 +43,14 @@
     {
         return server->open_streams() == 1;
     };
-    co_await until(one_open);
+    co_await poll_until(one_open);
 
     relay.silence();
     const auto suspect = [&first]
     {
         return !(*first)->usable();
     };
-    co_await until(suspect);
+    co_await poll_until(suspect);
     EXPECT_EQ((*first)->open_streams(), 1U);
     const auto second = co_await pool.get(relay.endpoint());
     EXPECT_TRUE(second);
@@ -64,7 +65,7 @@
     {
         return server->open_streams() == 0;
     };
-    co_await until(none_open);
+    co_await poll_until(none_open);
 }
 
 TEST(silence, a_silent_connection_is_replaced_and_its_streams_fail)
@@ -75,9 +76,9 @@
 
 asio::awaitable<void> idle_silent_connection(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, echo, quick_times());
+    const auto server = listen_or_fail(context, echo, quick_options());
     tcp_relay relay(context, server->local_endpoint());
-    session_pool pool(context, quick_times());
+    session_pool pool(context, quick_options());
     const auto first = co_await pool.get(relay.endpoint());
     EXPECT_TRUE(first);
     relay.silence();
@@ -85,9 +86,9 @@
     {
         return !(*first)->usable();
     };
-    co_await until(suspect);
+    co_await poll_until(suspect);
     const auto answer =
-        co_await call(pool, relay.endpoint(), "/echo", "again", test_limit);
+        co_await call(pool, relay.endpoint(), "/echo", "again", test_timeout);
     EXPECT_TRUE(answer);
     EXPECT_EQ(answer.value(), "again");
 }
@@ -102,7 +103,7 @@
 {
     // The kernel accepts for a process that doesn't run.
     tcp::acceptor acceptor(context, any_port());
-    auto options = quick_times();
+    auto options = quick_options();
     options.connect_timeout = std::chrono::milliseconds(200);
     session_pool pool(context, options);
     const auto session = co_await pool.get(acceptor.local_endpoint());
@@ -117,7 +118,7 @@
 }
 
 // A quiet peer that lives: the handler takes long, the PINGs are answered.
-asio::awaitable<void> long_work(asio::io_context& context)
+asio::awaitable<void> slow_handler(asio::io_context& context)
 {
     const auto work =
         [](std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
@@ -126,9 +127,9 @@
         response_head head;
         static_cast<void>(co_await stream->write_head(head, true));
     };
-    const auto server = listen_or_fail(context, work, quick_times());
+    const auto server = listen_or_fail(context, work, quick_options());
     const auto session = co_await client_session::connect(
-        context, server->local_endpoint(), quick_times());
+        context, server->local_endpoint(), quick_options());
     EXPECT_TRUE(session);
     const auto stream = (*session)->open(get("/long"), true);
     EXPECT_TRUE(stream);
@@ -136,58 +137,59 @@
     EXPECT_TRUE(head);
 }
 
-TEST(silence, long_work_is_not_taken_for_silence)
+TEST(silence, a_slow_handler_is_not_taken_for_silence)
 {
     asio::io_context context(1);
-    run(context, long_work(context));
+    run(context, slow_handler(context));
 }
 
 // Two calls on a session that goes silent: the one that can be sent elsewhere
 // fails while the session is suspect, the other one when it is given up.
-asio::awaitable<void> movable_and_not(asio::io_context& context)
+asio::awaitable<void> retryable_and_not(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, wait_for_cancel, quick_times());
+    const auto server =
+        listen_or_fail(context, wait_for_cancel, quick_options());
     tcp_relay relay(context, server->local_endpoint());
-    auto options = quick_times();
-    options.give_up_limit = std::chrono::seconds(60);
+    auto options = quick_options();
+    options.give_up_timeout = std::chrono::seconds(60);
     const auto session =
         co_await client_session::connect(context, relay.endpoint(), options);
     EXPECT_TRUE(session);
-    const auto movable = (*session)->open(get("/wait"), true);
+    const auto retryable = (*session)->open(get("/wait"), true);
     const auto fixed = (*session)->open(get("/wait"), true);
-    EXPECT_TRUE(movable && fixed);
-    (*movable)->expect_answer_soon(true);
+    EXPECT_TRUE(retryable && fixed);
+    (*retryable)->expect_answer_soon(true);
     (*fixed)->expect_answer_soon(false);
     const auto both_open = [&server]
     {
         return server->open_streams() == 2;
     };
-    co_await until(both_open);
+    co_await poll_until(both_open);
     relay.silence();
-    const auto head = co_await (*movable)->read_head();
+    const auto head = co_await (*retryable)->read_head();
     EXPECT_FALSE(head);
     EXPECT_EQ(head.error(), stream_failure::silent);
     EXPECT_FALSE((*session)->usable()) << "suspect, not replaced";
     EXPECT_EQ(server->open_streams(), 2U) << "not given up as a whole";
 }
 
-TEST(silence, what_can_be_sent_elsewhere_fails_when_the_session_is_suspect)
+TEST(silence, retryable_streams_fail_when_the_session_is_suspect)
 {
     asio::io_context context(1);
-    run(context, movable_and_not(context));
+    run(context, retryable_and_not(context));
 }
 
 // A call came and went, the session idles, and then it falls silent under the
 // next call: that one is found out in the time of an open call.
 asio::awaitable<void> silent_between_calls(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, echo, quick_times());
+    const auto server = listen_or_fail(context, echo, quick_options());
     tcp_relay relay(context, server->local_endpoint());
-    auto options = quick_times();
+    auto options = quick_options();
     options.idle_ping_interval = std::chrono::hours(1);
     session_pool pool(context, options);
     const auto answer =
-        co_await call(pool, relay.endpoint(), "/echo", "first", test_limit);
+        co_await call(pool, relay.endpoint(), "/echo", "first", test_timeout);
     EXPECT_TRUE(answer);
     relay.silence();
     const auto session = co_await pool.get(relay.endpoint());
@@ -207,53 +209,53 @@
 
 // A session that was used and then idles; the peer is asked before the next
 // request.
-asio::awaitable<void> confirmed_or_not(asio::io_context& context)
+asio::awaitable<void> confirm_live_and_silent(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, echo, quick_times());
+    const auto server = listen_or_fail(context, echo, quick_options());
     tcp_relay relay(context, server->local_endpoint());
-    auto options = quick_times();
+    auto options = quick_options();
     options.idle_ping_interval = std::chrono::hours(1);
-    options.confirm_limit = std::chrono::milliseconds(200);
-    options.give_up_limit = std::chrono::seconds(60);
+    options.confirm_timeout = std::chrono::milliseconds(200);
+    options.give_up_timeout = std::chrono::seconds(60);
     session_pool pool(context, options);
     const auto answer =
-        co_await call(pool, relay.endpoint(), "/echo", "first", test_limit);
+        co_await call(pool, relay.endpoint(), "/echo", "first", test_timeout);
     EXPECT_TRUE(answer);
     const auto session = co_await pool.get(relay.endpoint());
     EXPECT_TRUE(session);
-    co_await sleep_for(2 * options.heard_lately);
+    co_await sleep_for(2 * options.recent_receive_window);
     const auto there = co_await (*session)->confirm();
     EXPECT_TRUE(there);
 
     relay.silence();
-    co_await sleep_for(2 * options.heard_lately);
+    co_await sleep_for(2 * options.recent_receive_window);
     const auto gone = co_await (*session)->confirm();
     EXPECT_FALSE(gone);
     EXPECT_EQ(gone.error(), stream_failure::silent);
     EXPECT_FALSE((*session)->usable());
     const auto again =
-        co_await call(pool, relay.endpoint(), "/echo", "again", test_limit);
+        co_await call(pool, relay.endpoint(), "/echo", "again", test_timeout);
     EXPECT_TRUE(again);
 }
 
-TEST(silence, a_peer_is_confirmed_before_what_may_not_be_sent_again)
+TEST(silence, confirm_detects_a_silent_peer_before_a_request_is_sent)
 {
     asio::io_context context(1);
-    run(context, confirmed_or_not(context));
+    run(context, confirm_live_and_silent(context));
 }
 
-asio::awaitable<void> closed_while_asked(asio::io_context& context)
+asio::awaitable<void> closed_during_confirm(asio::io_context& context)
 {
-    const auto server = listen_or_fail(context, echo, quick_times());
+    const auto server = listen_or_fail(context, echo, quick_options());
     tcp_relay relay(context, server->local_endpoint());
-    auto options = quick_times();
-    options.confirm_limit = std::chrono::seconds(30);
-    options.silence_limit = std::chrono::seconds(30);
+    auto options = quick_options();
+    options.confirm_timeout = std::chrono::seconds(30);
+    options.silence_timeout = std::chrono::seconds(30);
     const auto session =
         co_await client_session::connect(context, relay.endpoint(), options);
     EXPECT_TRUE(session);
     relay.silence();
-    co_await sleep_for(2 * options.heard_lately);
+    co_await sleep_for(2 * options.recent_receive_window);
     const auto close = [&session]() -> asio::awaitable<void>
     {
         co_await sleep_for(std::chrono::milliseconds(20));
@@ -265,10 +267,10 @@
     EXPECT_EQ(gone.error(), stream_failure::cancelled);
 }
 
-TEST(silence, a_session_that_closes_while_its_peer_is_asked_says_so)
+TEST(silence, confirm_fails_when_the_session_closes_meanwhile)
 {
     asio::io_context context(1);
-    run(context, closed_while_asked(context));
+    run(context, closed_during_confirm(context));
 }
 
 } // namespace
--- a/nutmegusher/wire/stream.hpp
+++ b/nutmegusher/wire/stream.hpp
@@ -46,10 +46,10 @@
     bool peer_reset = false;
     byte_queue inbound;
     // See `client_stream::expect_answer_soon`.
-    bool answer_is_near = false;
-    bool movable = false;
+    bool answer_due_soon = false;
+    bool retryable = false;
     // Nobody will read any more: what arrives is dropped.
-    bool discard = false;
+    bool discard_inbound = false;
 
     // To be sent.
     byte_queue outbound;
@@ -63,7 +63,7 @@
     // peer has never heard of.
     bool reset_submitted = false;
     // The handler has gone; what the peer still sends isn't wanted.
-    bool released = false;
+    bool handle_released = false;
 
     // nghttp2 has forgotten the stream, or the connection has gone.
     bool closed = false;
--- a/nutmegusher/wire/transfer_test.cpp
+++ b/nutmegusher/wire/transfer_test.cpp
@@ -6,24 +6,24 @@
 namespace
 {
 
-constexpr std::size_t dossier_bytes = 50 * 1024 * 1024;
-constexpr std::size_t dossier_part = 40000;
+constexpr std::size_t large_body_bytes = 50 * 1024 * 1024;
+constexpr std::size_t chunk_bytes = 40000;
 
 // What the writer has given and the reader has taken.
-struct transfer_tally
+struct transfer_counts
 {
     std::size_t written = 0;
     std::size_t read = 0;
-    std::size_t most_between = 0;
+    std::size_t max_unread = 0;
 
-    void note()
+    void update_max_unread()
     {
-        most_between = std::max(most_between, written - read);
+        max_unread = std::max(max_unread, written - read);
     }
 };
 
 // The bytes at an offset of the dossier; cheap to compute on both ends.
-void fill_dossier(std::span<std::byte> part, std::size_t offset)
+void fill_large_body(std::span<std::byte> part, std::size_t offset)
 {
     for (std::size_t i = 0; i < part.size(); ++i)
     {
@@ -33,64 +33,64 @@
 }
 
 template <class Stream>
-asio::awaitable<void> write_dossier(Stream& stream, transfer_tally& tally)
+asio::awaitable<void> write_large_body(Stream& stream, transfer_counts& counts)
 {
-    std::vector<std::byte> part(dossier_part);
-    while (tally.written < dossier_bytes)
+    std::vector<std::byte> part(chunk_bytes);
+    while (counts.written < large_body_bytes)
     {
-        const auto left = dossier_bytes - tally.written;
-        part.resize(std::min(left, dossier_part));
-        fill_dossier(part, tally.written);
+        const auto left = large_body_bytes - counts.written;
+        part.resize(std::min(left, chunk_bytes));
+        fill_large_body(part, counts.written);
         const bool end = part.size() == left;
         const auto written = co_await stream.write(part, end);
         if (!written)
         {
             co_return;
         }
-        tally.written += part.size();
-        tally.note();
+        counts.written += part.size();
+        counts.update_max_unread();
     }
 }
 
 template <class Stream>
-asio::awaitable<bool> read_dossier(Stream& stream, transfer_tally& tally)
+asio::awaitable<bool> read_large_body(Stream& stream, transfer_counts& counts)
 {
-    std::vector<std::byte> part(dossier_part);
-    std::vector<std::byte> expected(dossier_part);
+    std::vector<std::byte> part(chunk_bytes);
+    std::vector<std::byte> expected(chunk_bytes);
     bool same = true;
     for (;;)
     {
         const auto count = co_await stream.read_some(part);
         if (!count || *count == 0)
         {
-            co_return same&& count&& tally.read == dossier_bytes;
+            co_return same&& count&& counts.read == large_body_bytes;
         }
         const auto received = std::span(part).first(*count);
         const auto wanted = std::span(expected).first(*count);
-        fill_dossier(wanted, tally.read);
+        fill_large_body(wanted, counts.read);
         same = same && std::ranges::equal(received, wanted);
-        tally.read += *count;
+        counts.read += *count;
     }
 }
 
 // Whatever the reader hasn't taken is within one window and one buffer.
-void expect_bounded(const transfer_tally& tally)
+void expect_bounded(const transfer_counts& counts)
 {
     const session_options limits;
-    EXPECT_EQ(tally.read, dossier_bytes);
+    EXPECT_EQ(counts.read, large_body_bytes);
     EXPECT_LE(
-        tally.most_between,
-        limits.stream_window + limits.write_buffer + dossier_part);
+        counts.max_unread,
+        limits.stream_window + limits.max_write_buffer_bytes + chunk_bytes);
 }
 
 asio::awaitable<void> download(asio::io_context& context)
 {
-    transfer_tally tally;
-    const auto serve =
-        [&tally](std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
+    transfer_counts counts;
+    const auto serve = [&counts](std::shared_ptr<server_stream> stream)
+        -> asio::awaitable<void>
     {
         static_cast<void>(co_await stream->write_head(response_head{}, false));
-        co_await write_dossier(*stream, tally);
+        co_await write_large_body(*stream, counts);
     };
     const auto server = listen_or_fail(context, serve);
     const auto session = co_await client_session::connect(
@@ -103,11 +103,11 @@
     {
         return (*stream)->buffered_bytes() > 0;
     };
-    co_await until(some_arrived);
+    co_await poll_until(some_arrived);
     co_await sleep_for(std::chrono::milliseconds(50));
-    const bool whole = co_await read_dossier(**stream, tally);
+    const bool whole = co_await read_large_body(**stream, counts);
     EXPECT_TRUE(whole);
-    expect_bounded(tally);
+    expect_bounded(counts);
 }
 
 TEST(transfer, a_download_of_fifty_megabytes_is_whole_in_bounded_memory)
@@ -118,19 +118,19 @@
 
 asio::awaitable<void> upload(asio::io_context& context)
 {
-    transfer_tally tally;
+    transfer_counts counts;
     bool whole = false;
     const auto serve =
-        [&tally,
+        [&counts,
          &whole](std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
     {
         const auto some_arrived = [stream]
         {
             return stream->buffered_bytes() > 0;
         };
-        co_await until(some_arrived);
+        co_await poll_until(some_arrived);
         co_await sleep_for(std::chrono::milliseconds(50));
-        whole = co_await read_dossier(*stream, tally);
+        whole = co_await read_large_body(*stream, counts);
         static_cast<void>(co_await stream->write_head(response_head{}, true));
     };
     const auto server = listen_or_fail(context, serve);
@@ -139,11 +139,11 @@
     EXPECT_TRUE(session);
     const auto stream = (*session)->open(post("/dossier"), false);
     EXPECT_TRUE(stream);
-    co_await write_dossier(**stream, tally);
+    co_await write_large_body(**stream, counts);
     const auto head = co_await (*stream)->read_head();
     EXPECT_TRUE(head);
     EXPECT_TRUE(whole);
-    expect_bounded(tally);
+    expect_bounded(counts);
 }
 
 TEST(transfer, an_upload_of_fifty_megabytes_is_whole_in_bounded_memory)
@@ -152,14 +152,14 @@
     run(context, upload(context));
 }
 
-asio::awaitable<void> lagging_reader(asio::io_context& context)
+asio::awaitable<void> unread_stream(asio::io_context& context)
 {
     const auto serve =
         [](std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
     {
-        transfer_tally unused;
+        transfer_counts unused;
         static_cast<void>(co_await stream->write_head(response_head{}, false));
-        co_await write_dossier(*stream, unused);
+        co_await write_large_body(*stream, unused);
     };
     const auto server = listen_or_fail(context, serve);
     const auto session = co_await client_session::connect(
@@ -172,18 +172,18 @@
     {
         return (*unread)->buffered_bytes() == limits.stream_window;
     };
-    co_await until(window_is_full);
-    transfer_tally tally;
+    co_await poll_until(window_is_full);
+    transfer_counts counts;
     const auto stream = (*session)->open(get("/read"), true);
     EXPECT_TRUE(stream);
-    EXPECT_TRUE(co_await read_dossier(**stream, tally));
+    EXPECT_TRUE(co_await read_large_body(**stream, counts));
     EXPECT_EQ((*unread)->buffered_bytes(), limits.stream_window);
 }
 
 TEST(transfer, a_stream_that_nobody_reads_holds_up_no_other)
 {
     asio::io_context context(1);
-    run(context, lagging_reader(context));
+    run(context, unread_stream(context));
 }
 
 constexpr std::size_t answer_bytes = 3000;
--- a/nutmegusher/wire/wire_test_relay.hpp
+++ b/nutmegusher/wire/wire_test_relay.hpp
@@ -28,9 +28,9 @@
     {
         boost::system::error_code ignored;
         state_->acceptor.close(ignored);
-        for (const auto& one : state_->links)
+        for (const auto& current_link : state_->links)
         {
-            one->close();
+            current_link->close();
         }
     }
 
@@ -43,9 +43,9 @@
     // stay open. New ones work.
     void silence()
     {
-        for (const auto& one : state_->links)
+        for (const auto& current_link : state_->links)
         {
-            one->silent = true;
+            current_link->silent = true;
         }
     }
 
@@ -64,22 +64,22 @@
     struct link
     {
         explicit link(asio::io_context& context)
-            : near(context)
-            , far(context)
+            : client_socket(context)
+            , server_socket(context)
         {
         }
 
         void close()
         {
             boost::system::error_code ignored;
-            near.close(ignored);
-            far.close(ignored);
+            client_socket.close(ignored);
+            server_socket.close(ignored);
         }
 
-        tcp::socket near;
-        tcp::socket far;
+        tcp::socket client_socket;
+        tcp::socket server_socket;
         bool silent = false;
-        std::size_t answer_left = 0;
+        std::size_t answer_bytes_left = 0;
     };
 
     struct state
@@ -98,65 +98,74 @@
         std::vector<std::shared_ptr<link>> links;
     };
 
-    static asio::awaitable<void> accept(std::shared_ptr<state> all)
+    static asio::awaitable<void> accept(std::shared_ptr<state> shared)
     {
         const auto token = asio::as_tuple(asio::use_awaitable);
         for (;;)
         {
-            const auto made = std::make_shared<link>(all->context);
-            const auto [error] =
-                co_await all->acceptor.async_accept(made->near, token);
+            const auto new_link = std::make_shared<link>(shared->context);
+            const auto [error] = co_await shared->acceptor.async_accept(
+                new_link->client_socket, token);
             if (error)
             {
                 co_return;
             }
-            made->answer_left = all->answer_limit;
-            all->links.push_back(made);
-            asio::co_spawn(all->context, carry(all, made), asio::detached);
+            new_link->answer_bytes_left = shared->answer_limit;
+            shared->links.push_back(new_link);
+            asio::co_spawn(
+                shared->context,
+                connect_and_relay(shared, new_link),
+                asio::detached);
         }
     }
 
-    static asio::awaitable<void>
-    carry(std::shared_ptr<state> all, std::shared_ptr<link> one)
+    static asio::awaitable<void> connect_and_relay(
+        std::shared_ptr<state> shared, std::shared_ptr<link> current_link)
     {
         const auto token = asio::as_tuple(asio::use_awaitable);
-        const auto [error] =
-            co_await one->far.async_connect(all->target, token);
+        const auto [error] = co_await current_link->server_socket.async_connect(
+            shared->target, token);
         if (error)
         {
-            one->close();
+            current_link->close();
             co_return;
         }
-        asio::co_spawn(all->context, pump(one, false), asio::detached);
-        co_await pump(one, true);
+        asio::co_spawn(
+            shared->context,
+            relay_one_way(current_link, false),
+            asio::detached);
+        co_await relay_one_way(current_link, true);
     }
 
-    static asio::awaitable<void> pump(std::shared_ptr<link> one, bool answers)
+    static asio::awaitable<void>
+    relay_one_way(std::shared_ptr<link> current_link, bool answers)
     {
-        auto& from = answers ? one->far : one->near;
-        auto& to = answers ? one->near : one->far;
+        auto& from =
+            answers ? current_link->server_socket : current_link->client_socket;
+        auto& to =
+            answers ? current_link->client_socket : current_link->server_socket;
         const auto token = asio::as_tuple(asio::use_awaitable);
         std::array<char, 16384> buffer;
         for (;;)
         {
             const auto [error, count] =
                 co_await from.async_read_some(asio::buffer(buffer), token);
-            if (one->silent)
+            if (current_link->silent)
             {
                 co_return;
             }
             auto allowed = count;
             if (answers)
             {
-                allowed = std::min(count, one->answer_left);
-                one->answer_left -= allowed;
+                allowed = std::min(count, current_link->answer_bytes_left);
+                current_link->answer_bytes_left -= allowed;
             }
             const auto part = asio::buffer(buffer.data(), allowed);
             const auto [failed, sent] =
                 co_await asio::async_write(to, part, token);
             if (error || failed || allowed < count)
             {
-                one->close();
+                current_link->close();
                 co_return;
             }
         }
--- a/nutmegusher/wire/wire_test_support.hpp
+++ b/nutmegusher/wire/wire_test_support.hpp
@@ -23,7 +23,7 @@
 using tcp = asio::ip::tcp;
 
 // Far above what any step takes; a test that reaches it has failed.
-inline constexpr std::chrono::seconds test_limit{60};
+inline constexpr std::chrono::seconds test_timeout{60};
 
 inline tcp::endpoint any_port()
 {
@@ -42,7 +42,7 @@
     };
     asio::co_spawn(context, std::move(test), finished);
     context.restart();
-    context.run_for(test_limit);
+    context.run_for(test_timeout);
     EXPECT_TRUE(done);
 }
 
@@ -55,9 +55,9 @@
 
 // Lets the loop run until `condition` holds.
 template <class Condition>
-asio::awaitable<void> until(Condition condition)
+asio::awaitable<void> poll_until(Condition condition)
 {
-    const auto limit = std::chrono::steady_clock::now() + test_limit;
+    const auto limit = std::chrono::steady_clock::now() + test_timeout;
     while (!condition() && std::chrono::steady_clock::now() < limit)
     {
         co_await sleep_for(std::chrono::milliseconds(1));
@@ -70,10 +70,10 @@
     stream_handler handler,
     session_options options = {})
 {
-    auto made =
+    auto result =
         server::listen(context, any_port(), std::move(handler), options, false);
-    EXPECT_TRUE(made);
-    return std::move(*made);
+    EXPECT_TRUE(result);
+    return std::move(*result);
 }
 
 inline request_head get(std::string path)
@@ -92,7 +92,7 @@
 }
 
 // What a client says first: the preface and empty SETTINGS.
-inline std::string client_greeting()
+inline std::string client_preface()
 {
     const std::string preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
     const std::string settings("\0\0\0\4\0\0\0\0\0", 9);
@@ -104,9 +104,9 @@
 {
     random_engine engine(seed);
     std::string body(size, '\0');
-    for (auto& one : body)
+    for (auto& each_byte : body)
     {
-        one = static_cast<char>(engine());
+        each_byte = static_cast<char>(engine());
     }
     return body;
 }
@@ -157,7 +157,7 @@
     int cancelled = 0;
 };
 
-inline stream_handler behind(gate& watched)
+inline stream_handler gated_echo(gate& watched)
 {
     return [&watched](
                std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
@@ -168,11 +168,11 @@
             {
                 ++watched.cancelled;
             });
-        const auto may_go_on = [&watched, stream]
+        const auto may_answer = [&watched, stream]
         {
             return watched.open || stream->cancelled();
         };
-        co_await until(may_go_on);
+        co_await poll_until(may_answer);
         if (!stream->cancelled())
         {
             co_await echo(stream);
@@ -182,7 +182,7 @@
 
 // The whole answer, or why there is none.
 inline asio::awaitable<outcome<std::string, stream_failure>>
-finish(client_stream& stream)
+read_response(client_stream& stream)
 {
     const auto head = co_await stream.read_head();
     if (!head)
