--- a/nutmegusher/node/daemon_stop.cpp
+++ b/nutmegusher/node/daemon_stop.cpp
@@ -71,7 +71,7 @@
 
 void end_sessions_of(listeners& worker_listeners)
 {
-    worker_listeners.peers->end_sessions();
+    worker_listeners.peers->close_unconfirmed_sessions();
 }
 
 void close_upstream_of(listeners& worker_listeners)
