--- a/nutmegusher/wire/asio_types.hpp
+++ b/nutmegusher/wire/asio_types.hpp
@@ -1,5 +1,5 @@
-// The Asio types of this package, bound to io_context's own executor: without
-// the type-erased one, each operation saves its indirect calls.
+// Asio types of this package, bound to io_context's own executor: unlike the
+// type-erased executor, it needs no indirect calls per operation.
 #ifndef NUTMEGUSHER_WIRE_ASIO_TYPES_HPP
 #define NUTMEGUSHER_WIRE_ASIO_TYPES_HPP
 
--- a/nutmegusher/wire/byte_queue.hpp
+++ b/nutmegusher/wire/byte_queue.hpp
@@ -1,4 +1,4 @@
-// Bytes in order of arrival, in one block of memory.
+// A FIFO queue of bytes in one block of memory.
 #ifndef NUTMEGUSHER_WIRE_BYTE_QUEUE_HPP
 #define NUTMEGUSHER_WIRE_BYTE_QUEUE_HPP
 
@@ -14,7 +14,7 @@
 public:
     void push(std::span<const std::byte> bytes);
 
-    // Moves the oldest bytes out; gives how many.
+    // Moves the oldest bytes into `into`; returns their count.
     std::size_t pop(std::span<std::byte> into);
 
     void clear();
@@ -31,7 +31,7 @@
 
 private:
     std::vector<std::byte> bytes_;
-    // Where the oldest byte is.
+    // Index of the oldest byte in `bytes_`.
     std::size_t begin_ = 0;
 };
 
--- a/nutmegusher/wire/connection.hpp
+++ b/nutmegusher/wire/connection.hpp
@@ -1,9 +1,9 @@
-// One TCP connection with its HTTP/2 session, on either side.
+// One TCP connection with its HTTP/2 session, client or server side.
 //
-// Reads whenever the socket is readable, into a buffer that all connections
-// of the thread share; gathers what is to be sent into one buffer for each
-// turn of the loop, with one write in flight. nghttp2's callbacks change the
-// streams' state and wake coroutines in a later turn; they call no user code.
+// Reads whenever the socket is readable, into a buffer that all connections of
+// the thread share. Output is collected into one buffer per turn of the event
+// loop, with one write in flight. nghttp2's callbacks change stream state and
+// wake coroutines in a later turn; they call no user code.
 #ifndef NUTMEGUSHER_WIRE_CONNECTION_HPP
 #define NUTMEGUSHER_WIRE_CONNECTION_HPP
 
@@ -26,10 +26,10 @@
 namespace nutmegusher::wire::internal
 {
 
-// What the owner of a connection wants to know; called outside of nghttp2.
+// Notifications to the connection's owner; called outside of nghttp2.
 struct connection_callbacks
 {
-    // A peer has opened a stream; its head is complete.
+    // A peer opened a stream and its head is complete.
     std::function<void(std::shared_ptr<stream>)> request_received;
     // Posted once, after the connection has closed.
     std::function<void()> closed;
@@ -47,27 +47,30 @@
     connection& operator=(const connection&) = delete;
     ~connection() = default;
 
-    // From now until the peer's SETTINGS; the last limit given counts.
+    // Closes the connection unless the peer's SETTINGS arrive within `limit`. A
+    // later call replaces the timeout.
     void set_handshake_timeout(duration limit);
-    // The socket is connected: sends SETTINGS, reads. Call once.
+    // Sends SETTINGS and starts to read. Call once. Requires: the socket is
+    // connected.
     void start();
     void set_callbacks(connection_callbacks callbacks);
 
-    // Ends everything now; open streams fail with `why`.
+    // Closes the connection at once; open streams fail with `why`.
     void close(stream_failure why);
-    // The same at a server's own end. The peer is told which streams were read,
-    // as far as its receive buffer takes it: it may send the others elsewhere.
+    // Like `close`, for a server that ends. First sends a GOAWAY that names the
+    // last stream read, if the socket's send buffer has room for it: the peer
+    // may send later streams elsewhere.
     void close_with_goaway();
-    // No new streams; closes when the last one is finished.
+    // Opens no new streams; closes when the last one is finished.
     void close_when_idle();
-    // Server: tells the peer to open no more streams, serves those that are
-    // open, closes.
+    // Server: tells the peer with GOAWAY to open no more streams, serves those
+    // that are open, then closes.
     void stop_gracefully();
-    // The same without the peer's confirmation: what it sends from now on isn't
-    // read, and it is told so.
+    // Like `stop_gracefully`, but doesn't wait for the peer's confirmation:
+    // streams that it opens from now on are refused by the GOAWAY.
     void stop_without_confirmation();
 
-    // Server: the handlers of open streams are told to end.
+    // Server: calls the `on_cancelled` callbacks of the open streams.
     void give_up();
 
     [[nodiscard]] asio::io_context& context() const
@@ -94,7 +97,7 @@
     {
         return failure_;
     }
-    // Notified when it gets ready, or closes.
+    // Notified when the connection becomes ready or closes.
     [[nodiscard]] signal& ready_or_closed()
     {
         return ready_or_closed_;
@@ -105,13 +108,14 @@
     {
         return streams_.size();
     }
-    // Server: running handlers, and responses that are still to be sent.
+    // Server: the number of running handlers and of responses that aren't sent
+    // completely.
     [[nodiscard]] std::size_t streams_in_flight() const;
 
-    // See `client_session`.
+    // See `client_session::confirm`.
     [[nodiscard]] asio::awaitable<outcome<void, stream_failure>> confirm();
 
-    // Streams; used by their handles.
+    // Stream operations, called by the stream handles.
     [[nodiscard]] outcome<std::shared_ptr<stream>, stream_failure>
     open(const request_head& head, bool end);
     [[nodiscard]] outcome<void, stream_failure>
@@ -122,18 +126,19 @@
         bool end);
     [[nodiscard]] asio::awaitable<outcome<std::size_t, stream_failure>>
     read_some(std::shared_ptr<stream> source, std::span<std::byte> into);
-    // Breaks the stream off with an HTTP/2 error code.
+    // Resets the stream with an HTTP/2 error code; it fails with `why`.
     void reset(stream& target, std::uint32_t code, stream_failure why);
-    // The stream's answer is due soon; `retryable`: see `client_stream`.
+    // See `client_stream::expect_answer_soon`.
     void expect_answer_soon(stream& target, bool retryable);
-    // The handle has gone.
+    // The stream's handle was destroyed: resets the stream unless it is
+    // complete.
     void abandon(stream& target);
 
-    // Server: a handler runs; it counts as a stream in flight.
+    // Server: a running handler counts as a stream in flight.
     void handler_started();
     void handler_finished();
 
-    // From nghttp2's callbacks.
+    // Called by nghttp2's callbacks.
     int begin_headers(const nghttp2_frame& frame);
     int header_field(
         const nghttp2_frame& frame,
@@ -146,7 +151,7 @@
     void stream_closed(std::int32_t id, std::uint32_t code);
 
 private:
-    // connection.cpp: the socket.
+    // In connection.cpp: socket input and output.
     void wait_readable();
     void read_available();
     bool read_once();
@@ -158,7 +163,7 @@
     void close_if_finished();
     [[nodiscard]] bool busy() const;
 
-    // connection_time.cpp.
+    // In connection_time.cpp: timers and liveness.
     void linger();
     void schedule_tick();
     void tick();
@@ -168,7 +173,7 @@
     void wake_receive_waiters();
     void handle_confirm_timeout();
 
-    // connection_streams.cpp and connection_frames.cpp.
+    // In connection_streams.cpp and connection_frames.cpp.
     [[nodiscard]] std::shared_ptr<stream> make_stream(std::int32_t id);
     [[nodiscard]] stream* find(std::int32_t id) const;
     void resume(stream& target);
@@ -190,7 +195,7 @@
     connection_callbacks callbacks_;
 
     std::unordered_map<std::int32_t, std::shared_ptr<stream>> streams_;
-    // Their heads are complete; handlers are still to be started.
+    // Streams with a complete head whose handlers aren't started yet.
     std::vector<std::shared_ptr<stream>> pending_requests_;
     std::size_t running_handlers_ = 0;
 
@@ -200,7 +205,7 @@
 
     liveness liveness_;
     std::chrono::steady_clock::time_point last_received_at_;
-    // Those that wait for the peer to be heard, or for the end.
+    // Coroutines that wait for received data or for the connection to close.
     std::list<signal*> receive_waiters_;
     rate_limit control_frames_;
     timer tick_timer_;
@@ -211,10 +216,10 @@
     signal ready_or_closed_;
     bool ready_ = false;
     bool closed_ = false;
-    // No new streams: GOAWAY was received or sent.
+    // GOAWAY was received or sent, or is being sent: no new streams.
     bool going_away_ = false;
     bool final_goaway_sent_ = false;
-    // The last stream that is served, from then on.
+    // The last stream that is served after the final GOAWAY.
     std::int32_t last_served_stream_ = 0;
     bool closing_when_idle_ = false;
     bool lingering_ = false;
--- a/nutmegusher/wire/header.hpp
+++ b/nutmegusher/wire/header.hpp
@@ -1,4 +1,4 @@
-// Heads of requests and responses.
+// Header fields and heads of requests and responses.
 #ifndef NUTMEGUSHER_WIRE_HEADER_HPP
 #define NUTMEGUSHER_WIRE_HEADER_HPP
 
@@ -11,7 +11,7 @@
 namespace nutmegusher::wire
 {
 
-// One field. Names are lower-case, without the pseudo-headers' colon.
+// A header field. Names are lower-case and exclude pseudo-headers.
 struct header
 {
     std::string name;
@@ -22,8 +22,8 @@
 
 using headers = std::vector<header>;
 
-// The value of the first field of that name; `name` must be lower-case. The
-// view is valid as long as `fields`.
+// Returns the value of the first field with this name; `name` must be
+// lower-case. The view is valid as long as `fields`.
 [[nodiscard]] std::optional<std::string_view>
 find_header(std::span<const header> fields, std::string_view name);
 
--- a/nutmegusher/wire/liveness.hpp
+++ b/nutmegusher/wire/liveness.hpp
@@ -1,14 +1,14 @@
-// Tells a silent connection from a quiet one.
+// Distinguishes a silent connection from a quiet one.
 //
-// A connection goes silent for good when something between the two ends has
-// lost track of it: nothing arrives any more, no error does either, and new
-// connections work. Without a check of one's own every request on it waits
-// for its deadline, and the pool hands it out again and again.
+// A connection goes silent for good when a device between the two ends loses
+// its state for it: nothing arrives any more, no error is reported, and new
+// connections work. Without a liveness check every request on the connection
+// waits for its deadline, and the pool keeps handing the connection out.
 //
-// The thresholds are those of `session_options`; where a stream waits for an
-// answer that is due soon, the short ones hold. A pause of this process (it
-// was stopped, or starved) is no silence of the peer: a tick that comes far
-// too late isn't counted.
+// The thresholds come from `session_options`; the urgent ones apply while a
+// stream waits for an answer that is due soon. A pause of this process
+// (stopped, or starved of CPU) isn't counted as silence of the peer: a tick
+// that comes far too late is ignored.
 #ifndef NUTMEGUSHER_WIRE_LIVENESS_HPP
 #define NUTMEGUSHER_WIRE_LIVENESS_HPP
 
@@ -24,11 +24,11 @@
     {
         none,
         send_ping,
-        // The connection is lost.
+        // The connection must be closed.
         give_up
     };
 
-    // What the open streams wait for.
+    // The most urgent answer that the open streams wait for.
     enum class awaited_response : std::uint8_t
     {
         none,
@@ -41,30 +41,33 @@
     {
     }
 
-    // Something arrived from the peer.
+    // Records that data arrived from the peer.
     void received()
     {
         received_since_tick_ = true;
         suspect_ = false;
     }
 
-    // A PING sent aside of the ticks has had no answer for so long, which is
-    // the limit of silence: the connection is suspect.
+    // Records that a PING sent outside of the ticks has been unanswered for
+    // `elapsed`, and marks the connection as suspect. Requires: `elapsed` is
+    // the silence timeout that applies.
     void note_unanswered_ping(duration elapsed);
 
-    // Time has passed since the tick before.
+    // Advances the state by the time since the previous tick and returns what
+    // the connection must do.
     [[nodiscard]] action tick(duration elapsed, awaited_response awaited);
 
-    // When the next tick is due; also plans it.
+    // Computes and stores the time until the next tick.
     [[nodiscard]] duration schedule_tick(awaited_response awaited);
 
-    // The planned tick is later than streams that wait so may wait for it.
+    // Returns true if the scheduled tick comes later than streams that wait for
+    // `awaited` allow.
     [[nodiscard]] bool is_tick_too_late(awaited_response awaited) const
     {
         return tick_interval_ > ping_interval_for(awaited);
     }
 
-    // No new streams.
+    // A suspect connection gets no new streams.
     [[nodiscard]] bool suspect() const
     {
         return suspect_;
@@ -78,9 +81,9 @@
     const session_options options_;
 
     duration tick_interval_ = duration::zero();
-    // Without anything received.
+    // Time without received data, before a PING is sent.
     duration silent_time_ = duration::zero();
-    // Since the PING, without anything received.
+    // Time since the PING without received data.
     duration unanswered_time_ = duration::zero();
     bool ping_sent_ = false;
     bool received_since_tick_ = false;
--- a/nutmegusher/wire/rate_limit.hpp
+++ b/nutmegusher/wire/rate_limit.hpp
@@ -1,4 +1,4 @@
-// A token bucket against peers that flood with cheap frames.
+// A token bucket that limits floods of cheap frames from a peer.
 #ifndef NUTMEGUSHER_WIRE_RATE_LIMIT_HPP
 #define NUTMEGUSHER_WIRE_RATE_LIMIT_HPP
 
@@ -10,7 +10,7 @@
 namespace nutmegusher::wire::internal
 {
 
-// Holds a second's worth of events.
+// The bucket's capacity is the number of events allowed per second.
 class rate_limit
 {
 public:
@@ -20,7 +20,7 @@
     {
     }
 
-    // False when the event passes the limit.
+    // Takes a token; returns false if the rate limit is exceeded.
     [[nodiscard]] bool take(time_point now)
     {
         const std::chrono::duration<double> elapsed = now - last_;
--- a/nutmegusher/wire/session_options.hpp
+++ b/nutmegusher/wire/session_options.hpp
@@ -1,4 +1,4 @@
-// Limits and times of a session. Both ends have their own.
+// Limits and timeouts of a session. Each end has its own.
 #ifndef NUTMEGUSHER_WIRE_SESSION_OPTIONS_HPP
 #define NUTMEGUSHER_WIRE_SESSION_OPTIONS_HPP
 
@@ -12,73 +12,80 @@
 
 struct session_options
 {
-    // Nothing received for so long while streams are open: a PING is sent.
+    // A PING is sent when nothing was received for this long while streams are
+    // open.
     duration ping_interval = std::chrono::milliseconds(500);
-    // The same while no stream is open. A PING and its answer cost about 200
-    // bytes with the packets' headers, so 100 idle sessions cost 2 KB/s.
+    // `ping_interval` for a session without open streams. A PING and its answer
+    // cost about 200 bytes including packet headers, so 100 idle sessions cost
+    // 2 KB/s.
     duration idle_ping_interval = std::chrono::seconds(10);
-    // A PING unanswered for so long makes the session suspect: no new
-    // streams, until something is received again. Above two retransmission
-    // timeouts of TCP (200 ms and 400 ms), so that one lost packet isn't
-    // taken for silence.
+    // A session becomes suspect when a PING is unanswered for this long: it
+    // gets no new streams until something is received again. Longer than the
+    // first two TCP retransmission timeouts (200 ms and 400 ms), so that one
+    // lost packet isn't taken for silence.
     duration silence_timeout = std::chrono::seconds(1);
-    // The same while a stream waits for an answer that is due soon, and then
-    // its streams that can be sent again elsewhere fail with `silent` as soon
-    // as the session is suspect: of a call's time limit, 0.7 s and more at the
-    // users', enough is left to run it. Above one retransmission timeout of
-    // TCP; a second packet lost in a row costs a repeat.
+    // The ping interval and silence timeout while a stream waits for an answer
+    // that is due soon. Its retryable streams then fail with `silent` as soon
+    // as the session is suspect. Calls have a time limit of 0.7 s or more, so
+    // enough time is left to run the call elsewhere. Longer than one TCP
+    // retransmission timeout; a second consecutive packet loss costs a retry.
     duration urgent_ping_interval = std::chrono::milliseconds(150);
     duration urgent_silence_timeout = std::chrono::milliseconds(300);
-    // A peer that was heard from so lately is taken to be there: see
-    // `client_session::confirm`. Far below the time in which a silent session
-    // is found out, and above the pauses of a busy one.
+    // A peer from which data was received within this window counts as alive,
+    // see `client_session::confirm`. Much shorter than the time to detect a
+    // silent session, and longer than the pauses of a busy one.
     duration recent_receive_window = std::chrono::milliseconds(50);
-    // How long `confirm` waits. Above a round trip between regions; several
-    // hosts that are gone may have to be asked within one call's target. A lost
-    // packet that TCP repeats after 200 ms costs the choice of another peer.
+    // How long `confirm` waits. Longer than a round trip between regions, but
+    // short enough to try several lost hosts within one call's target latency.
+    // A lost packet, which TCP retransmits after 200 ms, makes the caller
+    // choose another peer.
     duration confirm_timeout = std::chrono::milliseconds(150);
-    // Hosts are lost together, as a rack or a data centre: so long after one
-    // was, others that weren't heard from since may be gone as well. Above the
-    // time in which TCP and the ticks find a silent session out.
+    // How long after a lost peer other peers may be lost too, because hosts
+    // fail together, as a rack or a data centre. Applies to peers from which
+    // nothing was received since. Longer than TCP and the ticks take to detect
+    // a silent session.
     duration loss_retention = std::chrono::seconds(3);
-    // Suspect for so long: the open streams fail with `silent` and the
-    // connection is closed.
+    // When a session has been suspect for this long, its open streams fail with
+    // `silent` and the connection is closed.
     duration give_up_timeout = std::chrono::seconds(2);
-    // From the start of connecting to the peer's SETTINGS.
+    // Time from the start of the connect until the peer's SETTINGS arrive.
     duration connect_timeout = std::chrono::seconds(1);
-    // Of that, for the connection itself. A host without power drops the first
-    // packet, and TCP sends the next one after a second: a new connect finds
-    // the host up to 0.7 s sooner. Seven round trips between regions.
+    // The part of `connect_timeout` allowed for the TCP connect. A host without
+    // power drops the first SYN, and TCP retransmits it only after a second: a
+    // new connect reaches the host up to 0.7 s sooner. Equals seven round trips
+    // between regions.
     duration tcp_connect_timeout = std::chrono::milliseconds(300);
-    // After a connect failed the pool fails the same endpoint at once for so
-    // long, so that callers move on to another upstream.
+    // For this long after a failed connect the pool fails requests for the same
+    // endpoint at once, so that callers move on to another upstream.
     duration connect_backoff = std::chrono::milliseconds(100);
-    // A client session without a stream for so long is closed.
+    // A client session that had no stream for this long is closed.
     duration idle_timeout = std::chrono::seconds(60);
-    // How long the close waits for the peer to see the last bytes.
+    // How long a closing server connection waits for the peer to receive the
+    // last bytes.
     duration linger_timeout = std::chrono::seconds(1);
 
-    // What a peer may send on one stream before it is read: 1 Gbit/s times
-    // the 2 ms round trip between data centres, which is 250 KB.
+    // Flow-control window of a stream: the bandwidth-delay product of 1 Gbit/s
+    // and the 2 ms round trip between data centres, which is 250 KB.
     std::uint32_t stream_window = 256 * 1024;
-    // What a peer may send on all streams before it is read: bounds the
-    // memory of one connection.
+    // Flow-control window of a connection; bounds the memory that one
+    // connection uses for unread data.
     std::uint32_t connection_window = 1024 * 1024;
-    // Bytes that one stream's writer may leave to be sent.
+    // Bytes that a stream may buffer for sending before `write` waits.
     std::size_t max_write_buffer_bytes = 64 * 1024;
-    // Streams that the peer may have open at once; more are refused.
+    // Streams that the peer may have open at once; further ones are refused.
     std::uint32_t max_concurrent_streams = 256;
-    // Names and values of one head, with 32 bytes for each field.
+    // Total size of the names and values in one head, plus 32 bytes for each
+    // field.
     std::uint32_t max_header_bytes = 16 * 1024;
     std::uint32_t max_frame_bytes = 16 * 1024;
     // PING, SETTINGS, PRIORITY, RST_STREAM and empty DATA frames that a peer
-    // may send in a second; more close the connection. Well above the resets
-    // of a burst of cancellations at the rate of calls that one core serves.
+    // may send per second; more close the connection. Well above the resets of
+    // a burst of cancellations at the call rate that one core serves.
     std::uint32_t max_control_frames_per_second = 20000;
-    // Sessions of a pool with one endpoint; another one is opened where the
-    // others have no free stream.
+    // Maximum sessions of a pool with one endpoint. Another session is opened
+    // when the others have no free stream.
     std::size_t max_sessions_per_endpoint = 4;
-    // Connections that one server holds; more are closed at once.
+    // Maximum connections of a server; further ones are closed at once.
     std::size_t max_connections = 8192;
 };
 
--- a/nutmegusher/wire/signal.hpp
+++ b/nutmegusher/wire/signal.hpp
@@ -1,4 +1,4 @@
-// Wakes the coroutines of one thread that wait for a change of state.
+// Wakes coroutines of one thread that wait for a change of state.
 #ifndef NUTMEGUSHER_WIRE_SIGNAL_HPP
 #define NUTMEGUSHER_WIRE_SIGNAL_HPP
 
@@ -19,8 +19,8 @@
     cancelled
 };
 
-// The waiter checks its condition, waits, and checks again: what is notified
-// before the wait begins isn't remembered.
+// The waiter checks its condition, waits, and checks again. A notification sent
+// before the wait begins is not remembered.
 class signal
 {
 public:
@@ -29,15 +29,16 @@
     {
     }
 
-    // False where the waiting coroutine was cancelled. The signal must outlive
-    // the wait.
+    // Returns false if the waiting coroutine was cancelled. The signal must
+    // outlive the wait.
     [[nodiscard]] asio::awaitable<bool> wait();
 
-    // Waits until `deadline` at most. Requires: nobody else waits.
+    // Waits until notified, at most until `deadline`. Requires: no other
+    // coroutine waits.
     [[nodiscard]] asio::awaitable<wait_result>
     wait_until(std::chrono::steady_clock::time_point deadline);
 
-    // All that wait go on, in a later turn of the loop.
+    // Wakes all waiters, in a later turn of the event loop.
     void notify()
     {
         timer_.cancel();
--- a/nutmegusher/wire/stream.hpp
+++ b/nutmegusher/wire/stream.hpp
@@ -14,7 +14,8 @@
 namespace nutmegusher::wire::internal
 {
 
-// Changed by the connection's callbacks and by the handles, all on one thread.
+// Changed by the connection's callbacks and by the stream handles, all on one
+// thread.
 class stream
 {
 public:
@@ -24,10 +25,11 @@
     {
     }
 
-    // The first failure stays. Wakes whoever waits.
+    // Records the failure unless one is recorded already, and wakes waiting
+    // readers and writers.
     void fail(stream_failure why);
 
-    // Calls `on_cancelled` in a later turn of the loop.
+    // Posts `on_cancelled` to the event loop; it runs at most once.
     void post_cancelled(asio::io_context& context);
 
     [[nodiscard]] bool local_ended() const
@@ -37,7 +39,8 @@
 
     std::int32_t id = -1;
 
-    // Received. A response has a status, a request the rest.
+    // Received data. A response uses `status`; `request` holds a request's
+    // head, or a response's fields.
     request_head request;
     unsigned status = 0;
     std::size_t head_bytes = 0;
@@ -48,24 +51,24 @@
     // See `client_stream::expect_answer_soon`.
     bool answer_due_soon = false;
     bool retryable = false;
-    // Nobody will read any more: what arrives is dropped.
+    // No reader is left: further received data is dropped.
     bool discard_inbound = false;
 
-    // To be sent.
+    // Data to be sent.
     byte_queue outbound;
-    // nghttp2 was told that there is nothing to send for now.
+    // nghttp2 was told to stop polling `outbound` until `resume` is called.
     bool deferred = false;
     bool head_submitted = false;
     bool head_sent = false;
     bool local_end_queued = false;
     bool local_end_sent = false;
-    // RST_STREAM is on its way; a second one could name a stream that the
-    // peer has never heard of.
+    // RST_STREAM is queued; a second one could name a stream that the peer has
+    // never seen.
     bool reset_submitted = false;
-    // The handler has gone; what the peer still sends isn't wanted.
+    // The stream handle was destroyed; what the peer still sends isn't needed.
     bool handle_released = false;
 
-    // nghttp2 has forgotten the stream, or the connection has gone.
+    // nghttp2 has closed the stream, or the connection is closed.
     bool closed = false;
     std::optional<stream_failure> failure;
 
--- a/nutmegusher/wire/stream_failure.hpp
+++ b/nutmegusher/wire/stream_failure.hpp
@@ -14,41 +14,44 @@
 
 enum class stream_failure : std::uint8_t
 {
-    // The connection was lost before the clean end of the stream.
+    // The connection closed before the clean end of the stream.
     cut,
     // The peer reset the stream.
     reset,
-    // REFUSED_STREAM, GOAWAY, or never sent: certainly not processed.
+    // REFUSED_STREAM, GOAWAY, or never sent: the peer certainly didn't process
+    // the request.
     refused,
-    // The connection went silent and was given up.
+    // The connection went silent and was closed.
     silent,
     // The deadline of the stream or of the call has passed.
     timed_out,
-    // The peer broke HTTP/2, or its content-length.
+    // The peer violated HTTP/2 or sent a body that doesn't match its
+    // content-length.
     protocol,
-    // A size or count passed its limit.
+    // A size or count exceeded its limit.
     too_large,
     // Cancelled on this side.
     cancelled,
-    // No connection could be made: certainly not processed.
+    // No connection could be made: the peer certainly didn't process the
+    // request.
     not_connected,
     // A call was answered, but not with status 200.
     bad_status
 };
 
-// The enumerator's name, for logs and dumps.
+// Returns the enumerator's name, for logs and dumps.
 [[nodiscard]] std::string_view to_string(stream_failure failure);
 
 std::ostream& operator<<(std::ostream& out, stream_failure failure);
 
-// True where the peer certainly didn't begin to process the request.
+// Returns true if the peer certainly didn't begin to process the request.
 [[nodiscard]] constexpr bool certainly_not_processed(stream_failure failure)
 {
     return failure == stream_failure::refused ||
            failure == stream_failure::not_connected;
 }
 
-// What `outcome<T, stream_failure>::value()` throws where there is none.
+// Thrown by `outcome<T, stream_failure>::value()` when it holds a failure.
 class stream_failed : public std::exception
 {
 public:
--- a/nutmegusher/wire/wire.hpp
+++ b/nutmegusher/wire/wire.hpp
@@ -1,12 +1,13 @@
-// HTTP/2 streams between our own processes: cleartext, prior knowledge.
+// HTTP/2 streams between the processes of a deployment: cleartext, with prior
+// knowledge.
 //
-// A `session_pool` hands out live sessions, a session opens streams, a
-// `server` runs a handler for each stream that a peer opens. Liveness is part
-// of it: a connection that goes silent gets no new streams, is replaced, and
-// fails its open streams with `stream_failure::silent`.
+// A `session_pool` hands out live sessions, a session opens streams, and a
+// `server` runs a handler for each stream that a peer opens. Liveness detection
+// is built in: a connection that goes silent gets no new streams, is replaced,
+// and its open streams fail with `stream_failure::silent`.
 //
-// Everything is bound to one io_context, which one thread runs; nothing here
-// locks.
+// All objects are bound to one io_context that a single thread runs; nothing
+// here locks.
 //
 //     auto session = co_await pool.get(endpoint);
 //     auto stream = (*session)->open(head, /*end_stream=*/true);
