--- a/nutmegusher/wire/call.cpp
+++ b/nutmegusher/wire/call.cpp
@@ -10,7 +10,7 @@
 constexpr unsigned status_ok = 200;
 constexpr std::size_t read_chunk_bytes = 16 * 1024;
 
-// The first part of the body is small in most calls.
+// Reads the response's body in chunks; most bodies fit into the first one.
 boost::asio::awaitable<outcome<std::string, stream_failure>>
 read_body(client_stream& stream)
 {
--- a/nutmegusher/wire/call.hpp
+++ b/nutmegusher/wire/call.hpp
@@ -1,4 +1,4 @@
-// Small unary calls between processes, for control messages.
+// Unary calls between processes, for control messages.
 #ifndef NUTMEGUSHER_WIRE_CALL_HPP
 #define NUTMEGUSHER_WIRE_CALL_HPP
 
@@ -10,14 +10,14 @@
 namespace nutmegusher::wire
 {
 
-// The largest answer that `call` takes.
+// The largest response body that `call` accepts.
 inline constexpr std::size_t max_call_answer_bytes = 64 * 1024 * 1024;
 
-// Sends POST `path` with `body` (an encoded protobuf message) and gives back
-// the whole body of the answer. `path` and `body` must stay valid until it
-// ends.
-// Errors: as of the pool and the stream; `bad_status` where the answer isn't
-// 200; `timed_out` after `timeout`, connecting included; `too_large`.
+// Sends POST `path` with `body` (an encoded protobuf message) and returns the
+// whole body of the response. `path` and `body` must stay valid until the call
+// ends. Errors: those of the pool and the stream; `bad_status` if the status
+// isn't 200; `timed_out` after `timeout`, which includes connecting;
+// `too_large` if the body exceeds `max_call_answer_bytes`.
 [[nodiscard]] boost::asio::awaitable<outcome<std::string, stream_failure>> call(
     session_pool& pool,
     boost::asio::ip::tcp::endpoint peer,
--- a/nutmegusher/wire/client_session.cpp
+++ b/nutmegusher/wire/client_session.cpp
@@ -22,7 +22,7 @@
         internal::tcp_socket(context),
         internal::side::client,
         options);
-    // Closes the connection where this coroutine is cancelled.
+    // Its destructor closes the connection if this coroutine is cancelled.
     auto session = std::make_shared<client_session>(new_connection);
     const auto begin = std::chrono::steady_clock::now();
     new_connection->set_handshake_timeout(
--- a/nutmegusher/wire/client_session.hpp
+++ b/nutmegusher/wire/client_session.hpp
@@ -1,4 +1,4 @@
-// One connection to a peer, on the side that opened it.
+// The client side of one connection to a peer.
 #ifndef NUTMEGUSHER_WIRE_CLIENT_SESSION_HPP
 #define NUTMEGUSHER_WIRE_CLIENT_SESSION_HPP
 
@@ -15,14 +15,14 @@
 namespace nutmegusher::wire
 {
 
-// Streams to one peer over one connection. The last owner that lets go of it
-// closes it as soon as its streams are finished.
+// Opens streams to one peer over one connection. When the last owner releases
+// the session, the connection closes as soon as its streams are finished.
 class client_session
 {
 public:
-    // Connects and waits for the peer's SETTINGS, so that a process which
-    // accepts but doesn't answer isn't taken for a live one.
-    // Errors: not_connected, timed_out.
+    // Connects and waits for the peer's SETTINGS, so that a process that
+    // accepts connections but doesn't respond isn't taken for a live one.
+    // Errors: not_connected, timed_out, cancelled.
     [[nodiscard]] static boost::asio::awaitable<
         outcome<std::shared_ptr<client_session>, stream_failure>>
     connect(
@@ -35,33 +35,34 @@
     client_session& operator=(const client_session&) = delete;
     ~client_session();
 
-    // Starts a request; `end_stream` says that it has no body.
-    // Errors: not_connected where the session isn't usable, refused where the
-    // peer's limit of streams is reached, too_large for the head.
+    // Starts a request; `end_stream` means that it has no body. Errors:
+    // not_connected if the session isn't usable, refused if the peer's stream
+    // limit is reached, too_large if the head exceeds the size limit.
     [[nodiscard]] outcome<std::unique_ptr<client_stream>, stream_failure>
     open(const request_head& head, bool end_stream);
 
-    // Proof that the peer is there, before a request that may not be sent
-    // again: something was received within `recent_receive_window`, or comes
-    // now in answer to a PING. Without it the first request on a session that
-    // has gone silent is lost, and nobody can tell whether it ran. Errors:
-    // silent where nothing comes within `confirm_timeout`, and the session is
-    // suspect; otherwise why it closed.
+    // Confirms that the peer is alive, before a request that must not be sent
+    // twice. Succeeds if data was received within `recent_receive_window`, or
+    // arrives now in answer to a PING. Without this check the first request on
+    // a session that has gone silent is lost, and nobody can tell whether it
+    // ran. Errors: silent if nothing arrives within `confirm_timeout`, which
+    // makes the session suspect; cancelled; otherwise the reason why the
+    // connection closed.
     [[nodiscard]] boost::asio::awaitable<outcome<void, stream_failure>>
     confirm();
 
-    // False when going away, suspect or closed.
+    // Returns false if the session is going away, suspect or closed.
     [[nodiscard]] bool usable() const;
 
-    // True where `open` wouldn't pass the peer's limit of streams.
+    // Returns true if another stream stays within the peer's stream limit.
     [[nodiscard]] bool has_free_stream() const;
 
     [[nodiscard]] std::size_t open_streams() const;
 
-    // Closes the connection now; open streams fail with `cancelled`.
+    // Closes the connection at once; open streams fail with `cancelled`.
     void close();
 
-    // Calls `closed` once after the connection has closed.
+    // Calls `closed` once, after the connection has closed.
     void on_closed(std::function<void()> closed);
 
 private:
--- a/nutmegusher/wire/client_stream.cpp
+++ b/nutmegusher/wire/client_stream.cpp
@@ -24,7 +24,7 @@
     const auto stream = stream_;
     for (;;)
     {
-        // A failure after a whole answer is no failure of the answer.
+        // A failure after the complete response doesn't affect the response.
         const bool whole = stream->head_complete && stream->remote_ended;
         if (stream->failure && !whole)
         {
--- a/nutmegusher/wire/connection.cpp
+++ b/nutmegusher/wire/connection.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-// One read takes at most this; all connections of the thread share it.
+// Maximum size of one read; all connections of the thread share the buffer.
 constexpr std::size_t read_buffer_bytes = 64 * 1024;
-// Reads before the other connections get their turn.
+// Maximum reads of a connection before other connections get their turn.
 constexpr int max_reads_per_turn = 4;
-// One write takes about this at most.
+// Approximate maximum size of one write.
 constexpr std::size_t write_batch_bytes = 128 * 1024;
-// A write buffer above this isn't kept while there is nothing to send.
+// A larger output buffer is freed while there is nothing to send.
 constexpr std::size_t max_idle_output_bytes = 4 * 1024;
 
 std::span<std::uint8_t> read_buffer()
@@ -91,7 +91,7 @@
 
 void connection::close_with_goaway()
 {
-    // What is half written can't be followed by anything else.
+    // Nothing may follow a partial write.
     if (closed_ || writing_)
     {
         close(stream_failure::cut);
@@ -120,9 +120,9 @@
         return;
     }
     going_away_ = true;
-    // The peer may have opened streams that are still on their way. The PING
-    // comes back after it has seen the notice; only then is the last stream
-    // known.
+    // The peer may have opened streams that are still in transit. The peer
+    // answers the PING after it has read the notice; only then is the last
+    // stream known.
     nghttp2_submit_shutdown_notice(session_.get());
     schedule_flush();
 }
@@ -313,7 +313,7 @@
                                     !streams_.empty();
     if (session_terminated)
     {
-        // nghttp2 has told the peer what it did wrong.
+        // nghttp2 has sent the peer a GOAWAY with the error.
         close(stream_failure::protocol);
         return;
     }
--- a/nutmegusher/wire/connection.hpp
+++ b/nutmegusher/wire/connection.hpp
@@ -57,9 +57,9 @@
 
     // Closes the connection at once; open streams fail with `why`.
     void close(stream_failure why);
-    // Like `close`, for a server that ends. First sends a GOAWAY that names the
-    // last stream read, if the socket's send buffer has room for it: the peer
-    // may send later streams elsewhere.
+    // Like `close`, for a server that ends. Unless a write is in flight, first
+    // sends a GOAWAY that names the last stream read, as far as the socket's
+    // send buffer takes it: the peer may send later streams elsewhere.
     void close_with_goaway();
     // Opens no new streams; closes when the last one is finished.
     void close_when_idle();
--- a/nutmegusher/wire/connection_frames.cpp
+++ b/nutmegusher/wire/connection_frames.cpp
@@ -1,5 +1,5 @@
-// The part of a connection that nghttp2 calls. It changes state and wakes
-// coroutines in a later turn; no user code runs from here.
+// Handlers of nghttp2's callbacks. They change state and wake coroutines in a
+// later turn of the event loop; no user code runs from here.
 #include "nutmegusher/wire/connection.hpp"
 
 #include <algorithm>
@@ -12,13 +12,13 @@
 {
 
 // Handlers may outlive streams that the peer has reset. A peer that opens and
-// resets at once must not start handlers without bound.
+// resets streams rapidly must not start an unbounded number of handlers.
 constexpr std::size_t max_handlers_per_stream = 2;
 
 constexpr unsigned first_final_status = 200;
 
-// In the PING that asks whether the peer knows of the shutdown; those of the
-// ticks hold zeros.
+// Payload of the PING that asks the peer to confirm the shutdown notice; the
+// liveness PINGs carry zeros.
 constexpr std::array<std::uint8_t, 8> shutdown_ping_payload{
     's', 'h', 'u', 't', 'd', 'o', 'w', 'n'};
 
@@ -52,7 +52,7 @@
     }
     if (final_goaway_sent_ && frame.hd.stream_id > last_served_stream_)
     {
-        // The GOAWAY waits for a write, and refuses it.
+        // The queued GOAWAY refuses this stream.
         return 0;
     }
     const auto limit =
@@ -160,7 +160,7 @@
     auto& target = *found->second;
     if (target.head_complete)
     {
-        // Trailers; nothing here uses them.
+        // Trailers are ignored.
         return;
     }
     target.head_complete = true;
@@ -201,7 +201,7 @@
     const auto type = frame.hd.type;
     if (type == NGHTTP2_GOAWAY)
     {
-        // Also where nghttp2 itself ends the session.
+        // Also reached when nghttp2 itself terminates the session.
         going_away_ = true;
         request_shutdown_confirmation();
         return;
@@ -223,7 +223,7 @@
     }
 }
 
-// A server that has answered whole doesn't want the rest of the request.
+// A server that has sent its whole response resets the rest of the request.
 void connection::handle_local_end(stream& target)
 {
     const bool unwanted = role_ == side::server && target.handle_released &&
@@ -271,8 +271,9 @@
     closed->writable.notify();
 }
 
-// nghttp2 sends PING before what is queued already; so only now, and the
-// answer proves that the peer has read the notice.
+// nghttp2 sends a PING before frames that are queued already. So the PING is
+// submitted only after the notice was sent, and its answer proves that the peer
+// has read the notice.
 void connection::request_shutdown_confirmation()
 {
     if (role_ == side::server && !final_goaway_sent_)
--- a/nutmegusher/wire/connection_streams.cpp
+++ b/nutmegusher/wire/connection_streams.cpp
@@ -1,4 +1,4 @@
-// The part of a connection that the handles of its streams use.
+// Stream operations of a connection, called by the stream handles.
 #include "nutmegusher/wire/connection.hpp"
 
 #include <algorithm>
@@ -8,14 +8,15 @@
 namespace
 {
 
-// Ids are 31 bits and are never used again; a connection near the end is
-// replaced.
+// Stream ids have 31 bits and are never reused; a connection that comes near
+// the end of the range is replaced.
 constexpr std::uint32_t last_usable_stream_id = 0x7ff00000;
 
-// Most heads have no more; spares the growth of the list field by field.
+// Most heads have at most this many fields; reserving them avoids repeated
+// reallocation.
 constexpr std::size_t typical_field_count = 12;
 
-// Hands the queued bytes of a stream to nghttp2.
+// Data provider callback: moves a stream's queued bytes to nghttp2.
 ssize_t read_outbound(
     nghttp2_session* /*session*/,
     std::int32_t /*id*/,
--- a/nutmegusher/wire/connection_time.cpp
+++ b/nutmegusher/wire/connection_time.cpp
@@ -1,5 +1,5 @@
-// The part of a connection that time drives: handshake, liveness, idleness,
-// the end.
+// Timers of a connection: handshake timeout, liveness, idle timeout and
+// lingering close.
 #include "nutmegusher/base/events.hpp"
 #include "nutmegusher/wire/connection.hpp"
 
@@ -20,7 +20,7 @@
     return text.str();
 }
 
-// Keeps a listener in the list while it waits.
+// Keeps a waiter in the list while it waits.
 class registered_receive_waiter
 {
 public:
@@ -122,8 +122,9 @@
     schedule_tick();
 }
 
-// Closing while bytes of the peer are unread would make TCP drop what was
-// sent last; so only the sending side ends, until the peer closes too.
+// Closing the socket while received bytes are unread would make TCP discard the
+// data sent last. So only the sending side is shut down, until the peer closes
+// or the timeout passes.
 void connection::linger()
 {
     if (lingering_)
@@ -173,7 +174,7 @@
     }
 }
 
-// Those that can be sent again elsewhere.
+// Fails the streams whose requests can be sent to another upstream.
 void connection::fail_retryable_streams()
 {
     std::vector<std::shared_ptr<stream>> failing;
@@ -198,8 +199,8 @@
     auto awaited_response = awaited_now();
     if (recently_busy && awaited_response == liveness::awaited_response::none)
     {
-        // Calls that come and go between two ticks: the next one may be open
-        // when the peer falls silent.
+        // Short calls may start and end between two ticks: one may be open when
+        // the peer falls silent.
         awaited_response = liveness::awaited_response::pending;
     }
     tick_timer_.expires_after(liveness_.schedule_tick(awaited_response));
--- a/nutmegusher/wire/h2_session.cpp
+++ b/nutmegusher/wire/h2_session.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-// More queued answers to PING and SETTINGS than this is a flood.
+// More queued acknowledgements of PING and SETTINGS than this are treated as a
+// flood.
 constexpr std::size_t max_queued_acks = 128;
 constexpr std::size_t max_settings_entries = 16;
 
@@ -130,9 +131,9 @@
     nghttp2_option* raw = nullptr;
     nghttp2_option_new(&raw);
     option_ptr all(raw);
-    // The window is given back as the reader consumes.
+    // Flow-control window is returned to the peer as the reader consumes data.
     nghttp2_option_set_no_auto_window_update(raw, 1);
-    // Nothing here uses priorities; closed streams aren't kept for them.
+    // Priorities aren't used, so closed streams needn't be kept for them.
     nghttp2_option_set_no_closed_streams(raw, 1);
     nghttp2_option_set_max_outbound_ack(raw, max_queued_acks);
     nghttp2_option_set_max_settings(raw, max_settings_entries);
@@ -164,7 +165,7 @@
         static_cast<std::int32_t>(options.connection_window));
 }
 
-// nghttp2 copies what it is given; it doesn't write through these pointers.
+// nghttp2 copies the strings and doesn't write through these pointers.
 nghttp2_nv field(std::string_view name, std::string_view value)
 {
     const auto bytes = [](std::string_view text)
@@ -179,7 +180,7 @@
         NGHTTP2_NV_FLAG_NONE};
 }
 
-// Fields about one connection of HTTP/1.1 have no place on a stream.
+// Connection-specific fields of HTTP/1.1 must not appear in HTTP/2.
 bool is_connection_specific(std::string_view name)
 {
     constexpr std::array<std::string_view, 7> names{
--- a/nutmegusher/wire/h2_session.hpp
+++ b/nutmegusher/wire/h2_session.hpp
@@ -1,4 +1,5 @@
-// Owners of nghttp2's objects, and how a session is made from our options.
+// RAII owners of nghttp2's objects, and the creation of a session from
+// `session_options`.
 #ifndef NUTMEGUSHER_WIRE_H2_SESSION_HPP
 #define NUTMEGUSHER_WIRE_H2_SESSION_HPP
 
@@ -30,7 +31,7 @@
 
 using h2_session = std::unique_ptr<nghttp2_session, h2_session_deleter>;
 
-// A session whose callbacks are `owner`'s, with our SETTINGS queued.
+// Creates a session whose callbacks call `owner`, with our SETTINGS queued.
 [[nodiscard]] h2_session
 make_h2_session(side role, connection& owner, const session_options& options);
 
@@ -38,11 +39,12 @@
 using h2_fields = std::vector<nghttp2_nv>;
 
 [[nodiscard]] h2_fields to_h2(const request_head& head);
-// `status_text` holds the digits; it must live as long as the fields.
+// `status_text` receives the status digits; it must outlive the returned
+// fields.
 [[nodiscard]] h2_fields
 to_h2(const response_head& head, std::string& status_text);
 
-// What HTTP/2 counts for a field: its bytes and 32 more.
+// HTTP/2 counts 32 bytes per field in addition to its name and value.
 inline constexpr std::size_t field_overhead = 32;
 
 [[nodiscard]] std::size_t header_list_size(const h2_fields& fields);
--- a/nutmegusher/wire/server.cpp
+++ b/nutmegusher/wire/server.cpp
@@ -17,12 +17,13 @@
 using reuse_port_option =
     asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-// After accept has failed (no file descriptors, mostly) it is tried again.
+// Delay before accept is retried after a failure, which is mostly a lack of
+// file descriptors.
 constexpr std::chrono::milliseconds accept_retry_delay{100};
 
 } // namespace
 
-// Shared by the server, its accepting, and its connections.
+// Shared by the server, its accept loop and its connections.
 class server_state : public std::enable_shared_from_this<server_state>
 {
 public:
@@ -210,11 +211,13 @@
         owner->handler_started();
         auto handle =
             std::make_shared<server_stream>(owner, std::move(request));
-        // The coroutine refers to the handler's own state.
+        // The completion callback keeps `handler_` alive, because the coroutine
+        // refers to the handler's captures.
         auto finished =
             [owner, handler = handler_](const std::exception_ptr& /*thrown*/)
         {
-            // Whatever it was, the stream is reset where it isn't ended.
+            // After any exception the destroyed handle resets the stream unless
+            // its response was ended.
             owner->handler_finished();
         };
         asio::co_spawn(
--- a/nutmegusher/wire/server.hpp
+++ b/nutmegusher/wire/server.hpp
@@ -1,4 +1,4 @@
-// Accepts connections of peers and runs a handler for each stream.
+// Accepts connections and runs a handler for each stream that a peer opens.
 #ifndef NUTMEGUSHER_WIRE_SERVER_HPP
 #define NUTMEGUSHER_WIRE_SERVER_HPP
 
@@ -23,12 +23,12 @@
 class server_state;
 } // namespace internal
 
-// Runs as a coroutine of its own for each stream. Where it returns or throws
-// without having ended the response, the stream is reset.
+// Runs as a separate coroutine for each stream. If it returns or throws before
+// the response is ended, the stream is reset.
 using stream_handler = std::function<boost::asio::awaitable<void>(
     std::shared_ptr<server_stream> stream)>;
 
-// The address can't be listened on.
+// The server couldn't listen on the address.
 struct listen_failure
 {
     boost::asio::ip::tcp::endpoint address;
@@ -38,9 +38,8 @@
 class server
 {
 public:
-    // Listens from now on; port 0 takes a free one. `reuse_port` lets each
-    // thread have a server of its own on the same address.
-    // Errors: listen_failure.
+    // Starts to listen; port 0 selects a free port. `reuse_port` lets each
+    // thread run its own server on the same address. Errors: listen_failure.
     [[nodiscard]] static leaf::result<std::unique_ptr<server>> listen(
         boost::asio::io_context& context,
         const boost::asio::ip::tcp::endpoint& address,
@@ -51,31 +50,32 @@
     explicit server(std::shared_ptr<internal::server_state> state);
     server(const server&) = delete;
     server& operator=(const server&) = delete;
-    // Closes everything at once.
+    // Closes all connections at once.
     ~server();
 
     [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const;
 
-    // Stops accepting and tells the peers with GOAWAY. Streams that they opened
-    // before they knew are served; then each connection closes, and once
-    // `connections` is 0 it stays so.
+    // Stops accepting connections and sends GOAWAY to the peers. Streams that a
+    // peer opened before it learned of the stop are served; then its connection
+    // closes. Once `connections` is 0 it stays 0.
     void close_intake();
 
-    // `close_intake`, then waits for the streams in flight, closes. What is
-    // unfinished after `limit` is cut; what wasn't read by then is `refused` at
-    // a peer that hears of it late.
+    // Calls `close_intake`, waits for the streams in flight and closes. Streams
+    // unfinished after `limit` fail with `cut`; those not read by then fail
+    // with `refused` at a peer that learns of the stop only later.
     [[nodiscard]] boost::asio::awaitable<void> stop_gracefully(duration limit);
 
-    // Ends the sessions of peers that haven't confirmed their end: what these
-    // send from now on isn't read, and they are told so. Streams that were read
-    // are served. Requires: no connection is accepted any more.
+    // Ends the sessions of peers that haven't confirmed the GOAWAY: a final
+    // GOAWAY refuses streams that weren't read yet, and those that were read
+    // are served. Requires: the server has stopped accepting.
     void close_unconfirmed_sessions();
 
-    // Has each stream in work end: its handler is told as if the peer had
-    // cancelled it, and may still answer.
+    // Tells the handler of each open stream to end, as if the peer had
+    // cancelled the stream; the handler may still answer.
     void give_up();
 
-    // Streams whose handler runs or whose response isn't sent yet.
+    // The number of streams whose handler runs or whose response isn't sent
+    // completely.
     [[nodiscard]] std::size_t open_streams() const;
 
     [[nodiscard]] std::size_t connections() const;
--- a/nutmegusher/wire/session_pool.cpp
+++ b/nutmegusher/wire/session_pool.cpp
@@ -19,7 +19,7 @@
 using session_ptr = std::shared_ptr<client_session>;
 using session_result = outcome<session_ptr, stream_failure>;
 
-// One endpoint and one kind of traffic.
+// An endpoint and a traffic kind; identifies a pool entry.
 struct pool_key
 {
     tcp::endpoint peer;
@@ -35,10 +35,11 @@
 struct pool_entry
 {
     std::vector<session_ptr> sessions;
-    // Those that wait for the connect under way.
+    // Callers that wait for the connect in progress.
     std::list<signal*> waiters;
     bool connecting = false;
-    // How many connects have ended, and how the last one did.
+    // The number of connects that have ended, and the failure of the last one,
+    // if it failed.
     std::uint64_t finished_connects = 0;
     std::optional<stream_failure> last_failure;
     time_point failed_at;
@@ -176,8 +177,8 @@
     }
 
 private:
-    // The first one that can: the later ones fall idle as load falls, and are
-    // closed.
+    // Prefers the first session with a free stream: as load falls, later
+    // sessions become idle and are closed.
     [[nodiscard]] static session_ptr first_available(const pool_entry& entry)
     {
         const auto is_available = [](const session_ptr& candidate)
@@ -226,8 +227,8 @@
         return now < entry.failed_at + options_.connect_backoff;
     }
 
-    // In a coroutine of its own, so that a caller which gives up doesn't end
-    // the connect that others wait for.
+    // Connects in a separate coroutine, so that a caller that stops waiting
+    // doesn't cancel the connect for the others.
     void
     start_connect(const pool_key& key, const std::shared_ptr<pool_entry>& entry)
     {
@@ -288,8 +289,8 @@
         session->on_closed(closed);
     }
 
-    // An entry that failed lately holds back connects; it goes when the next
-    // entry comes.
+    // An entry whose connect failed recently is kept, as it enforces the
+    // connect backoff; it is erased when the next entry is created.
     [[nodiscard]] bool is_unused(const pool_entry& entry) const
     {
         return entry.sessions.empty() && !entry.connecting &&
