--- a/nutmegusher/wire/client_stream.cpp
+++ b/nutmegusher/wire/client_stream.cpp
@@ -25,8 +25,8 @@
     for (;;)
     {
         // A failure after the complete response doesn't affect the response.
-        const bool whole = stream->head_complete && stream->remote_ended;
-        if (stream->failure && !whole)
+        const bool complete = stream->head_complete && stream->remote_ended;
+        if (stream->failure && !complete)
         {
             co_return *stream->failure;
         }
@@ -88,8 +88,8 @@
 
 void client_stream::cancel()
 {
-    const bool whole = stream_->remote_ended && stream_->local_end_queued;
-    if (!whole)
+    const bool complete = stream_->remote_ended && stream_->local_end_queued;
+    if (!complete)
     {
         connection_->reset(*stream_, NGHTTP2_CANCEL, stream_failure::cancelled);
     }
--- a/nutmegusher/wire/connection_frames.cpp
+++ b/nutmegusher/wire/connection_frames.cpp
@@ -226,9 +226,9 @@
 // A server that has sent its whole response resets the rest of the request.
 void connection::handle_local_end(stream& target)
 {
-    const bool unwanted = role_ == side::server && target.handle_released &&
-                          !target.remote_ended && !target.closed;
-    if (unwanted)
+    const bool reset_needed = role_ == side::server && target.handle_released &&
+                              !target.remote_ended && !target.closed;
+    if (reset_needed)
     {
         nghttp2_submit_rst_stream(
             session_.get(), NGHTTP2_FLAG_NONE, target.id, NGHTTP2_NO_ERROR);
@@ -257,8 +257,8 @@
     streams_.erase(found);
     closed->closed = true;
     closed->deadline.reset();
-    const bool whole = closed->remote_ended && closed->local_end_sent;
-    if (!whole)
+    const bool complete = closed->remote_ended && closed->local_end_sent;
+    if (!complete)
     {
         closed->fail(close_failure(*closed, code));
     }
--- a/nutmegusher/wire/liveness_test.cpp
+++ b/nutmegusher/wire/liveness_test.cpp
@@ -23,10 +23,10 @@
 }
 
 // Plans a tick and lets it come on time.
-action run_next_tick(liveness& watched, awaited_response awaited)
+action run_next_tick(liveness& monitor, awaited_response awaited)
 {
-    const auto span = watched.schedule_tick(awaited);
-    return watched.tick(span, awaited);
+    const auto span = monitor.schedule_tick(awaited);
+    return monitor.tick(span, awaited);
 }
 
 // Lets the ticks come until something is to be done; gives the time it took.
@@ -36,17 +36,17 @@
     duration after;
 };
 
-tick_result run_until_change(liveness& watched, awaited_response awaited)
+tick_result run_until_change(liveness& monitor, awaited_response awaited)
 {
-    const bool suspect = watched.suspect();
+    const bool suspect = monitor.suspect();
     duration after{0};
     constexpr int max_ticks = 100;
     for (int i = 0; i < max_ticks; ++i)
     {
-        const auto span = watched.schedule_tick(awaited);
-        const auto requested = watched.tick(span, awaited);
+        const auto span = monitor.schedule_tick(awaited);
+        const auto requested = monitor.tick(span, awaited);
         after += span;
-        if (requested != action::none || watched.suspect() != suspect)
+        if (requested != action::none || monitor.suspect() != suspect)
         {
             return {requested, after};
         }
@@ -56,62 +56,62 @@
 
 TEST(liveness, a_silent_peer_is_pinged_then_suspected_then_given_up)
 {
-    liveness watched(test_options());
-    const auto asked = run_until_change(watched, awaited_response::pending);
+    liveness monitor(test_options());
+    const auto asked = run_until_change(monitor, awaited_response::pending);
     EXPECT_EQ(asked.requested, action::send_ping);
     EXPECT_EQ(asked.after, milliseconds(500));
-    EXPECT_FALSE(watched.suspect());
-    const auto suspected = run_until_change(watched, awaited_response::pending);
+    EXPECT_FALSE(monitor.suspect());
+    const auto suspected = run_until_change(monitor, awaited_response::pending);
     EXPECT_EQ(suspected.requested, action::none);
     EXPECT_EQ(suspected.after, seconds(1));
-    EXPECT_TRUE(watched.suspect());
-    const auto given_up = run_until_change(watched, awaited_response::pending);
+    EXPECT_TRUE(monitor.suspect());
+    const auto given_up = run_until_change(monitor, awaited_response::pending);
     EXPECT_EQ(given_up.requested, action::give_up);
     EXPECT_EQ(given_up.after, seconds(2));
 }
 
 TEST(liveness, any_received_data_clears_suspicion_at_once)
 {
-    liveness watched(test_options());
-    static_cast<void>(run_until_change(watched, awaited_response::pending));
-    static_cast<void>(run_until_change(watched, awaited_response::pending));
-    ASSERT_TRUE(watched.suspect());
-    watched.received();
-    EXPECT_FALSE(watched.suspect());
-    EXPECT_EQ(run_next_tick(watched, awaited_response::pending), action::none);
+    liveness monitor(test_options());
+    static_cast<void>(run_until_change(monitor, awaited_response::pending));
+    static_cast<void>(run_until_change(monitor, awaited_response::pending));
+    ASSERT_TRUE(monitor.suspect());
+    monitor.received();
+    EXPECT_FALSE(monitor.suspect());
+    EXPECT_EQ(run_next_tick(monitor, awaited_response::pending), action::none);
     EXPECT_EQ(
-        run_next_tick(watched, awaited_response::pending), action::send_ping);
+        run_next_tick(monitor, awaited_response::pending), action::send_ping);
 }
 
 TEST(liveness, a_session_that_receives_data_is_never_pinged)
 {
-    liveness watched(test_options());
+    liveness monitor(test_options());
     for (int i = 0; i < 100; ++i)
     {
-        watched.received();
+        monitor.received();
         EXPECT_EQ(
-            run_next_tick(watched, awaited_response::pending), action::none);
+            run_next_tick(monitor, awaited_response::pending), action::none);
     }
 }
 
 TEST(liveness, an_idle_session_is_pinged_rarely)
 {
-    liveness watched(test_options());
-    EXPECT_EQ(watched.schedule_tick(awaited_response::none), seconds(10));
-    EXPECT_TRUE(watched.is_tick_too_late(awaited_response::pending));
+    liveness monitor(test_options());
+    EXPECT_EQ(monitor.schedule_tick(awaited_response::none), seconds(10));
+    EXPECT_TRUE(monitor.is_tick_too_late(awaited_response::pending));
     EXPECT_EQ(
-        watched.tick(seconds(10), awaited_response::none), action::send_ping);
+        monitor.tick(seconds(10), awaited_response::none), action::send_ping);
 }
 
 TEST(liveness, a_pause_of_this_process_is_no_silence_of_the_peer)
 {
-    liveness watched(test_options());
-    static_cast<void>(run_until_change(watched, awaited_response::pending));
-    static_cast<void>(run_until_change(watched, awaited_response::pending));
-    ASSERT_TRUE(watched.suspect());
-    static_cast<void>(watched.schedule_tick(awaited_response::pending));
+    liveness monitor(test_options());
+    static_cast<void>(run_until_change(monitor, awaited_response::pending));
+    static_cast<void>(run_until_change(monitor, awaited_response::pending));
+    ASSERT_TRUE(monitor.suspect());
+    static_cast<void>(monitor.schedule_tick(awaited_response::pending));
     EXPECT_EQ(
-        watched.tick(seconds(60), awaited_response::pending), action::none);
+        monitor.tick(seconds(60), awaited_response::pending), action::none);
 }
 
 TEST(liveness, silence_is_detected_early_while_an_answer_is_due_soon)
@@ -119,17 +119,17 @@
     auto options = test_options();
     options.urgent_ping_interval = milliseconds(150);
     options.urgent_silence_timeout = milliseconds(300);
-    liveness watched(options);
-    static_cast<void>(watched.schedule_tick(awaited_response::pending));
-    EXPECT_TRUE(watched.is_tick_too_late(awaited_response::due_soon));
-    const auto asked = run_until_change(watched, awaited_response::due_soon);
+    liveness monitor(options);
+    static_cast<void>(monitor.schedule_tick(awaited_response::pending));
+    EXPECT_TRUE(monitor.is_tick_too_late(awaited_response::due_soon));
+    const auto asked = run_until_change(monitor, awaited_response::due_soon);
     EXPECT_EQ(asked.requested, action::send_ping);
     EXPECT_EQ(asked.after, milliseconds(150));
     const auto suspected =
-        run_until_change(watched, awaited_response::due_soon);
+        run_until_change(monitor, awaited_response::due_soon);
     EXPECT_EQ(suspected.after, milliseconds(300));
-    EXPECT_TRUE(watched.suspect());
-    const auto given_up = run_until_change(watched, awaited_response::due_soon);
+    EXPECT_TRUE(monitor.suspect());
+    const auto given_up = run_until_change(monitor, awaited_response::due_soon);
     EXPECT_EQ(given_up.requested, action::give_up);
     EXPECT_EQ(suspected.after + given_up.after, seconds(3)) << "as without it";
 }
--- a/nutmegusher/wire/server_stop_test.cpp
+++ b/nutmegusher/wire/server_stop_test.cpp
@@ -17,8 +17,8 @@
 
 asio::awaitable<void> graceful_stop(asio::io_context& context)
 {
-    gate watched;
-    const auto server = listen_or_fail(context, gated_echo(watched));
+    gate handler_gate;
+    const auto server = listen_or_fail(context, gated_echo(handler_gate));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -26,9 +26,9 @@
     const auto stream = (*session)->open(post("/echo"), false);
     EXPECT_TRUE(stream);
     const auto bytes = std::as_bytes(std::span(body));
-    const auto entered = [&watched]
+    const auto entered = [&handler_gate]
     {
-        return watched.entered == 1;
+        return handler_gate.entered == 1;
     };
     co_await poll_until(entered);
 
@@ -45,7 +45,7 @@
     EXPECT_EQ(late.error(), stream_failure::not_connected);
     EXPECT_FALSE(stopped);
 
-    watched.open = true;
+    handler_gate.open = true;
     const auto written = co_await (*stream)->write(bytes, true);
     EXPECT_TRUE(written);
     const auto answer = co_await read_response(**stream);
@@ -57,7 +57,7 @@
     };
     co_await poll_until(has_stopped);
     EXPECT_EQ(server->connections(), 0U);
-    EXPECT_EQ(watched.cancelled, 0);
+    EXPECT_EQ(handler_gate.cancelled, 0);
 }
 
 TEST(server, a_graceful_stop_cuts_nothing_in_flight)
@@ -68,7 +68,7 @@
 
 struct request_counts
 {
-    int whole = 0;
+    int complete = 0;
     int not_processed = 0;
     int other = 0;
     int running = 0;
@@ -89,7 +89,7 @@
         const auto answer = co_await read_response(**stream);
         if (answer)
         {
-            ++counts.whole;
+            ++counts.complete;
             continue;
         }
         const bool unprocessed = certainly_not_processed(answer.error());
@@ -119,7 +119,7 @@
     }
     const auto under_load = [&counts]
     {
-        return counts.whole > 1000;
+        return counts.complete > 1000;
     };
     co_await poll_until(under_load);
     co_await server->stop_gracefully(test_timeout);
@@ -130,7 +130,7 @@
     co_await poll_until(all_ended);
     EXPECT_EQ(counts.other, 0);
     // What was said not to be processed wasn't.
-    EXPECT_EQ(handled, counts.whole);
+    EXPECT_EQ(handled, counts.complete);
 }
 
 TEST(server, a_stop_under_load_answers_or_refuses_each_request)
@@ -141,16 +141,16 @@
 
 asio::awaitable<void> stop_limit(asio::io_context& context)
 {
-    gate watched;
-    const auto server = listen_or_fail(context, gated_echo(watched));
+    gate handler_gate;
+    const auto server = listen_or_fail(context, gated_echo(handler_gate));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
     const auto stream = (*session)->open(get("/"), true);
     EXPECT_TRUE(stream);
-    const auto entered = [&watched]
+    const auto entered = [&handler_gate]
     {
-        return watched.entered == 1;
+        return handler_gate.entered == 1;
     };
     co_await poll_until(entered);
     co_await server->stop_gracefully(std::chrono::milliseconds(50));
@@ -158,9 +158,9 @@
     const auto answer = co_await read_response(**stream);
     EXPECT_FALSE(answer);
     EXPECT_EQ(answer.error(), stream_failure::cut);
-    const auto observed = [&watched]
+    const auto observed = [&handler_gate]
     {
-        return watched.cancelled == 1;
+        return handler_gate.cancelled == 1;
     };
     co_await poll_until(observed);
 }
@@ -228,9 +228,9 @@
         ++handled;
         co_await echo(stream);
     };
-    session_options quick;
-    quick.idle_ping_interval = std::chrono::milliseconds(5);
-    const auto server = listen_or_fail(context, serve, quick);
+    session_options short_timeouts;
+    short_timeouts.idle_ping_interval = std::chrono::milliseconds(5);
+    const auto server = listen_or_fail(context, serve, short_timeouts);
     tcp::socket socket(context);
     co_await socket.async_connect(
         server->local_endpoint(), asio::use_awaitable);
@@ -270,7 +270,7 @@
     co_await poll_until(has_stopped);
 }
 
-TEST(server, a_stop_refuses_no_request_that_it_runs)
+TEST(server, a_stop_serves_requests_sent_before_the_goaway_was_confirmed)
 {
     asio::io_context context(1);
     run(context, late_ping_answer(context));
@@ -358,7 +358,7 @@
     EXPECT_EQ(answer.error(), stream_failure::refused);
 }
 
-TEST_F(paused_peer, knows_that_a_request_that_nobody_read_did_not_run)
+TEST_F(paused_peer, knows_that_an_unread_request_did_not_run)
 {
     const auto opened = session->open(get("/"), true);
     ASSERT_TRUE(opened);
@@ -372,7 +372,7 @@
 }
 
 // Its answer isn't written: nobody knows how far it ran.
-TEST_F(paused_peer, is_not_told_that_a_request_that_began_did_not_run)
+TEST_F(paused_peer, is_not_told_that_a_started_request_did_not_run)
 {
     const auto opened = session->open(post("/"), false);
     ASSERT_TRUE(opened);
@@ -393,8 +393,8 @@
 
 asio::awaitable<void> close_idle_and_busy_sessions(asio::io_context& context)
 {
-    gate watched;
-    const auto server = listen_or_fail(context, gated_echo(watched));
+    gate handler_gate;
+    const auto server = listen_or_fail(context, gated_echo(handler_gate));
     const auto busy = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     const auto idle = co_await client_session::connect(
@@ -402,9 +402,9 @@
     EXPECT_TRUE(busy && idle);
     const auto begun = (*busy)->open(get("/"), true);
     EXPECT_TRUE(begun);
-    const auto entered = [&watched]
+    const auto entered = [&handler_gate]
     {
-        return watched.entered == 1;
+        return handler_gate.entered == 1;
     };
     co_await poll_until(entered);
     server->close_unconfirmed_sessions();
@@ -413,10 +413,10 @@
     const auto refused = co_await read_response(**late);
     EXPECT_FALSE(refused);
     EXPECT_EQ(refused.error(), stream_failure::refused);
-    watched.open = true;
+    handler_gate.open = true;
     const auto answer = co_await read_response(**begun);
     EXPECT_TRUE(answer);
-    EXPECT_EQ(watched.entered, 1);
+    EXPECT_EQ(handler_gate.entered, 1);
     const auto all_closed = [&server]
     {
         return server->connections() == 0;
--- a/nutmegusher/wire/server_test.cpp
+++ b/nutmegusher/wire/server_test.cpp
@@ -7,36 +7,36 @@
 
 asio::awaitable<void> cancel_reaches_handler(asio::io_context& context)
 {
-    gate watched;
-    const auto server = listen_or_fail(context, gated_echo(watched));
+    gate handler_gate;
+    const auto server = listen_or_fail(context, gated_echo(handler_gate));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
     {
         const auto dropped = (*session)->open(get("/"), true);
         EXPECT_TRUE(dropped);
-        const auto entered = [&watched]
+        const auto entered = [&handler_gate]
         {
-            return watched.entered == 1;
+            return handler_gate.entered == 1;
         };
         co_await poll_until(entered);
     }
-    const auto cancelled_once = [&watched]
+    const auto cancelled_once = [&handler_gate]
     {
-        return watched.cancelled == 1;
+        return handler_gate.cancelled == 1;
     };
     co_await poll_until(cancelled_once);
     const auto lost = (*session)->open(get("/"), true);
     EXPECT_TRUE(lost);
-    const auto entered_again = [&watched]
+    const auto entered_again = [&handler_gate]
     {
-        return watched.entered == 2;
+        return handler_gate.entered == 2;
     };
     co_await poll_until(entered_again);
     (*session)->close();
-    const auto cancelled_twice = [&watched]
+    const auto cancelled_twice = [&handler_gate]
     {
-        return watched.cancelled == 2;
+        return handler_gate.cancelled == 2;
     };
     co_await poll_until(cancelled_twice);
     const auto none_open = [&server]
@@ -83,12 +83,13 @@
     run(context, no_answer(context));
 }
 
-asio::awaitable<void> limit_of_streams(asio::io_context& context)
+asio::awaitable<void> stream_limit(asio::io_context& context)
 {
-    gate watched;
-    session_options few;
-    few.max_concurrent_streams = 3;
-    const auto server = listen_or_fail(context, gated_echo(watched), few);
+    gate handler_gate;
+    session_options low_limits;
+    low_limits.max_concurrent_streams = 3;
+    const auto server =
+        listen_or_fail(context, gated_echo(handler_gate), low_limits);
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -102,13 +103,13 @@
     const auto more = (*session)->open(get("/"), true);
     EXPECT_FALSE(more);
     EXPECT_EQ(more.error(), stream_failure::refused);
-    watched.open = true;
+    handler_gate.open = true;
 }
 
 TEST(server, more_streams_than_the_limit_are_refused)
 {
     asio::io_context context(1);
-    run(context, limit_of_streams(context));
+    run(context, stream_limit(context));
 }
 
 // A client that opens and resets streams as fast as it can, while handlers
@@ -116,13 +117,13 @@
 asio::awaitable<void> rapid_reset(asio::io_context& context)
 {
     std::size_t running = 0;
-    std::size_t most = 0;
+    std::size_t max_running = 0;
     bool finish_all = false;
     const auto serve =
         [&](std::shared_ptr<server_stream>) -> asio::awaitable<void>
     {
         ++running;
-        most = std::max(most, running);
+        max_running = std::max(max_running, running);
         const auto allowed = [&finish_all]
         {
             return finish_all;
@@ -130,9 +131,9 @@
         co_await poll_until(allowed);
         --running;
     };
-    session_options few;
-    few.max_concurrent_streams = 10;
-    const auto server = listen_or_fail(context, serve, few);
+    session_options low_limits;
+    low_limits.max_concurrent_streams = 10;
+    const auto server = listen_or_fail(context, serve, low_limits);
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -149,8 +150,8 @@
         };
         co_await poll_until(client_has_none);
     }
-    EXPECT_LE(most, 20U);
-    EXPECT_GE(most, 10U);
+    EXPECT_LE(max_running, 20U);
+    EXPECT_GE(max_running, 10U);
     finish_all = true;
     const auto none_running = [&running]
     {
@@ -168,9 +169,9 @@
 // The preface and empty SETTINGS of a client, then one frame without end.
 asio::awaitable<void> flood(asio::io_context& context, std::string frame)
 {
-    session_options strict;
-    strict.max_control_frames_per_second = 50;
-    const auto server = listen_or_fail(context, echo, strict);
+    session_options low_rate_limit;
+    low_rate_limit.max_control_frames_per_second = 50;
+    const auto server = listen_or_fail(context, echo, low_rate_limit);
     tcp::socket socket(context);
     co_await socket.async_connect(
         server->local_endpoint(), asio::use_awaitable);
@@ -202,12 +203,12 @@
     run(context, flood(context, priority));
 }
 
-asio::awaitable<void> silent_from_the_start(asio::io_context& context)
+asio::awaitable<void> no_handshake(asio::io_context& context)
 {
-    session_options quick;
-    quick.connect_timeout = std::chrono::milliseconds(50);
-    quick.max_connections = 2;
-    const auto server = listen_or_fail(context, echo, quick);
+    session_options short_timeouts;
+    short_timeouts.connect_timeout = std::chrono::milliseconds(50);
+    short_timeouts.max_connections = 2;
+    const auto server = listen_or_fail(context, echo, short_timeouts);
     std::vector<tcp::socket> sockets;
     for (int i = 0; i < 5; ++i)
     {
@@ -231,7 +232,7 @@
 TEST(server, connections_are_limited_and_need_a_timely_handshake)
 {
     asio::io_context context(1);
-    run(context, silent_from_the_start(context));
+    run(context, no_handshake(context));
 }
 
 TEST(server, an_address_in_use_is_a_typed_failure)
--- a/nutmegusher/wire/session_pool_test.cpp
+++ b/nutmegusher/wire/session_pool_test.cpp
@@ -56,11 +56,11 @@
 
 asio::awaitable<void> full_sessions(asio::io_context& context)
 {
-    session_options few;
-    few.max_concurrent_streams = 2;
-    few.max_sessions_per_endpoint = 3;
-    const auto server = listen_or_fail(context, wait_for_cancel, few);
-    session_pool pool(context, few);
+    session_options low_limits;
+    low_limits.max_concurrent_streams = 2;
+    low_limits.max_sessions_per_endpoint = 3;
+    const auto server = listen_or_fail(context, wait_for_cancel, low_limits);
+    session_pool pool(context, low_limits);
     std::vector<std::unique_ptr<client_stream>> held;
     for (int i = 0; i < 6; ++i)
     {
@@ -75,11 +75,11 @@
     EXPECT_FALSE(none);
     EXPECT_EQ(none.error(), stream_failure::refused);
     held.pop_back();
-    const auto last = [&pool, &server]
+    const auto has_free_stream = [&pool, &server]
     {
         return pool.find(server->local_endpoint()) != nullptr;
     };
-    co_await poll_until(last);
+    co_await poll_until(has_free_stream);
 }
 
 TEST(session_pool, another_session_is_opened_where_all_are_full)
@@ -88,14 +88,14 @@
     run(context, full_sessions(context));
 }
 
-asio::awaitable<void> idle(asio::io_context& context)
+asio::awaitable<void> idle_session(asio::io_context& context)
 {
-    session_options quick;
-    quick.ping_interval = std::chrono::milliseconds(10);
-    quick.idle_ping_interval = std::chrono::milliseconds(20);
-    quick.idle_timeout = std::chrono::milliseconds(60);
+    session_options short_timeouts;
+    short_timeouts.ping_interval = std::chrono::milliseconds(10);
+    short_timeouts.idle_ping_interval = std::chrono::milliseconds(20);
+    short_timeouts.idle_timeout = std::chrono::milliseconds(60);
     const auto server = listen_or_fail(context, echo);
-    session_pool pool(context, quick);
+    session_pool pool(context, short_timeouts);
     const auto first =
         co_await call(pool, server->local_endpoint(), "/", "one", test_timeout);
     EXPECT_EQ(first, std::string("one"));
@@ -117,7 +117,7 @@
 TEST(session_pool, an_idle_session_is_closed_and_replaced_on_demand)
 {
     asio::io_context context(1);
-    run(context, idle(context));
+    run(context, idle_session(context));
 }
 
 asio::awaitable<void> nobody_listens(asio::io_context& context)
@@ -147,9 +147,9 @@
 asio::awaitable<void> caller_deadline(asio::io_context& context)
 {
     const tcp::acceptor acceptor(context, any_port());
-    session_options slow;
-    slow.connect_timeout = test_timeout;
-    session_pool pool(context, slow);
+    session_options long_timeout;
+    long_timeout.connect_timeout = test_timeout;
+    session_pool pool(context, long_timeout);
     const auto answer = co_await call(
         pool,
         acceptor.local_endpoint(),
@@ -242,7 +242,7 @@
     run(context, removed_endpoint(context));
 }
 
-asio::awaitable<void> answers(asio::io_context& context)
+asio::awaitable<void> unary_calls(asio::io_context& context)
 {
     const auto serve =
         [](std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
@@ -272,7 +272,7 @@
 TEST(call, gives_the_whole_answer_or_a_failure)
 {
     asio::io_context context(1);
-    run(context, answers(context));
+    run(context, unary_calls(context));
 }
 
 } // namespace
--- a/nutmegusher/wire/session_test.cpp
+++ b/nutmegusher/wire/session_test.cpp
@@ -30,7 +30,7 @@
 
 struct echo_counts
 {
-    int whole = 0;
+    int complete = 0;
     int ended = 0;
 };
 
@@ -40,7 +40,7 @@
     const auto size = 1 + seed * 7919 % 40000;
     const auto body = make_body(seed, size);
     const auto answer = co_await echo_once(session, body);
-    counts.whole += answer && *answer == body ? 1 : 0;
+    counts.complete += answer && *answer == body ? 1 : 0;
     ++counts.ended;
 }
 
@@ -62,7 +62,7 @@
         return counts.ended == streams;
     };
     co_await poll_until(all_ended);
-    EXPECT_EQ(counts.whole, streams);
+    EXPECT_EQ(counts.complete, streams);
 }
 
 TEST(session, each_of_many_streams_gets_its_own_whole_answer)
@@ -82,7 +82,7 @@
     static_cast<void>(co_await stream->write_head(head, true));
 }
 
-asio::awaitable<void> heads(asio::io_context& context)
+asio::awaitable<void> header_round_trip(asio::io_context& context)
 {
     const auto server = listen_or_fail(context, return_request_head);
     const auto session = co_await client_session::connect(
@@ -103,17 +103,18 @@
     EXPECT_EQ(co_await read_all(**stream), std::string());
 }
 
-TEST(session, heads_arrive_without_the_fields_of_a_connection)
+TEST(session, heads_arrive_without_connection_specific_fields)
 {
     asio::io_context context(1);
-    run(context, heads(context));
+    run(context, header_round_trip(context));
 }
 
 asio::awaitable<void> large_request_head(asio::io_context& context)
 {
-    session_options narrow;
-    narrow.max_header_bytes = 1024;
-    const auto server = listen_or_fail(context, return_request_head, narrow);
+    session_options small_head_limit;
+    small_head_limit.max_header_bytes = 1024;
+    const auto server =
+        listen_or_fail(context, return_request_head, small_head_limit);
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -148,10 +149,10 @@
         static_cast<void>(co_await stream->write_head(head, true));
     };
     const auto server = listen_or_fail(context, serve);
-    session_options narrow;
-    narrow.max_header_bytes = 1024;
+    session_options small_head_limit;
+    small_head_limit.max_header_bytes = 1024;
     const auto session = co_await client_session::connect(
-        context, server->local_endpoint(), narrow);
+        context, server->local_endpoint(), small_head_limit);
     EXPECT_TRUE(session);
     const auto stream = (*session)->open(get("/"), true);
     EXPECT_TRUE(stream);
--- a/nutmegusher/wire/silence_test.cpp
+++ b/nutmegusher/wire/silence_test.cpp
@@ -99,7 +99,7 @@
     run(context, idle_silent_connection(context));
 }
 
-asio::awaitable<void> stopped_process(asio::io_context& context)
+asio::awaitable<void> accepting_only(asio::io_context& context)
 {
     // The kernel accepts for a process that doesn't run.
     tcp::acceptor acceptor(context, any_port());
@@ -114,7 +114,7 @@
 TEST(silence, a_process_that_only_accepts_is_not_connected_to)
 {
     asio::io_context context(1);
-    run(context, stopped_process(context));
+    run(context, accepting_only(context));
 }
 
 // A quiet peer that lives: the handler takes long, the PINGs are answered.
@@ -156,10 +156,10 @@
         co_await client_session::connect(context, relay.endpoint(), options);
     EXPECT_TRUE(session);
     const auto retryable = (*session)->open(get("/wait"), true);
-    const auto fixed = (*session)->open(get("/wait"), true);
-    EXPECT_TRUE(retryable && fixed);
+    const auto non_retryable = (*session)->open(get("/wait"), true);
+    EXPECT_TRUE(retryable && non_retryable);
     (*retryable)->expect_answer_soon(true);
-    (*fixed)->expect_answer_soon(false);
+    (*non_retryable)->expect_answer_soon(false);
     const auto both_open = [&server]
     {
         return server->open_streams() == 2;
@@ -224,14 +224,14 @@
     const auto session = co_await pool.get(relay.endpoint());
     EXPECT_TRUE(session);
     co_await sleep_for(2 * options.recent_receive_window);
-    const auto there = co_await (*session)->confirm();
-    EXPECT_TRUE(there);
+    const auto live_result = co_await (*session)->confirm();
+    EXPECT_TRUE(live_result);
 
     relay.silence();
     co_await sleep_for(2 * options.recent_receive_window);
-    const auto gone = co_await (*session)->confirm();
-    EXPECT_FALSE(gone);
-    EXPECT_EQ(gone.error(), stream_failure::silent);
+    const auto silent_result = co_await (*session)->confirm();
+    EXPECT_FALSE(silent_result);
+    EXPECT_EQ(silent_result.error(), stream_failure::silent);
     EXPECT_FALSE((*session)->usable());
     const auto again =
         co_await call(pool, relay.endpoint(), "/echo", "again", test_timeout);
@@ -262,9 +262,9 @@
         (*session)->close();
     };
     asio::co_spawn(context, close(), asio::detached);
-    const auto gone = co_await (*session)->confirm();
-    EXPECT_FALSE(gone);
-    EXPECT_EQ(gone.error(), stream_failure::cancelled);
+    const auto silent_result = co_await (*session)->confirm();
+    EXPECT_FALSE(silent_result);
+    EXPECT_EQ(silent_result.error(), stream_failure::cancelled);
 }
 
 TEST(silence, confirm_fails_when_the_session_closes_meanwhile)
--- a/nutmegusher/wire/transfer_test.cpp
+++ b/nutmegusher/wire/transfer_test.cpp
@@ -105,8 +105,8 @@
     };
     co_await poll_until(some_arrived);
     co_await sleep_for(std::chrono::milliseconds(50));
-    const bool whole = co_await read_large_body(**stream, counts);
-    EXPECT_TRUE(whole);
+    const bool complete = co_await read_large_body(**stream, counts);
+    EXPECT_TRUE(complete);
     expect_bounded(counts);
 }
 
@@ -119,10 +119,10 @@
 asio::awaitable<void> upload(asio::io_context& context)
 {
     transfer_counts counts;
-    bool whole = false;
+    bool complete = false;
     const auto serve =
-        [&counts,
-         &whole](std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
+        [&counts, &complete](
+            std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
     {
         const auto some_arrived = [stream]
         {
@@ -130,7 +130,7 @@
         };
         co_await poll_until(some_arrived);
         co_await sleep_for(std::chrono::milliseconds(50));
-        whole = co_await read_large_body(*stream, counts);
+        complete = co_await read_large_body(*stream, counts);
         static_cast<void>(co_await stream->write_head(response_head{}, true));
     };
     const auto server = listen_or_fail(context, serve);
@@ -142,7 +142,7 @@
     co_await write_large_body(**stream, counts);
     const auto head = co_await (*stream)->read_head();
     EXPECT_TRUE(head);
-    EXPECT_TRUE(whole);
+    EXPECT_TRUE(complete);
     expect_bounded(counts);
 }
 
@@ -202,7 +202,7 @@
 {
     const auto server = listen_or_fail(context, answer_of_known_size);
     tcp_relay relay(context, server->local_endpoint());
-    std::size_t whole = 0;
+    std::size_t complete = 0;
     std::size_t cut = 0;
     for (std::size_t limit = 60; limit < answer_bytes + 400; limit += 37)
     {
@@ -223,14 +223,14 @@
         if (body)
         {
             EXPECT_EQ(body->size(), answer_bytes);
-            ++whole;
+            ++complete;
             continue;
         }
         const bool never_sent = body.error() == stream_failure::refused;
         EXPECT_TRUE(never_sent || body.error() == stream_failure::cut);
         ++cut;
     }
-    EXPECT_GT(whole, 0U);
+    EXPECT_GT(complete, 0U);
     EXPECT_GT(cut, 0U);
 }
 
--- a/nutmegusher/wire/wire_test_relay.hpp
+++ b/nutmegusher/wire/wire_test_relay.hpp
@@ -138,12 +138,12 @@
     }
 
     static asio::awaitable<void>
-    relay_one_way(std::shared_ptr<link> current_link, bool answers)
+    relay_one_way(std::shared_ptr<link> current_link, bool to_client)
     {
-        auto& from =
-            answers ? current_link->server_socket : current_link->client_socket;
-        auto& to =
-            answers ? current_link->client_socket : current_link->server_socket;
+        auto& from = to_client ? current_link->server_socket
+                               : current_link->client_socket;
+        auto& to = to_client ? current_link->client_socket
+                             : current_link->server_socket;
         const auto token = asio::as_tuple(asio::use_awaitable);
         std::array<char, 16384> buffer;
         for (;;)
@@ -155,7 +155,7 @@
                 co_return;
             }
             auto allowed = count;
-            if (answers)
+            if (to_client)
             {
                 allowed = std::min(count, current_link->answer_bytes_left);
                 current_link->answer_bytes_left -= allowed;
--- a/nutmegusher/wire/wire_test_support.hpp
+++ b/nutmegusher/wire/wire_test_support.hpp
@@ -157,20 +157,20 @@
     int cancelled = 0;
 };
 
-inline stream_handler gated_echo(gate& watched)
+inline stream_handler gated_echo(gate& handler_gate)
 {
-    return [&watched](
+    return [&handler_gate](
                std::shared_ptr<server_stream> stream) -> asio::awaitable<void>
     {
-        ++watched.entered;
+        ++handler_gate.entered;
         stream->on_cancelled(
-            [&watched]
+            [&handler_gate]
             {
-                ++watched.cancelled;
+                ++handler_gate.cancelled;
             });
-        const auto may_answer = [&watched, stream]
+        const auto may_answer = [&handler_gate, stream]
         {
-            return watched.open || stream->cancelled();
+            return handler_gate.open || stream->cancelled();
         };
         co_await poll_until(may_answer);
         if (!stream->cancelled())
