--- a/nutmegusher/wire/byte_queue_test.cpp
+++ b/nutmegusher/wire/byte_queue_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_TRUE(queue.empty());
 }
 
-// Whatever the sizes of the pieces, the bytes come out once and in order.
+// For any sizes of the pieces, each byte comes out once and in order.
 RC_GTEST_PROP(
     byte_queue,
     keeps_the_order,
--- a/nutmegusher/wire/liveness_test.cpp
+++ b/nutmegusher/wire/liveness_test.cpp
@@ -22,14 +22,15 @@
     return options;
 }
 
-// Plans a tick and lets it come on time.
+// Schedules a tick and runs it on time.
 action run_next_tick(liveness& monitor, awaited_response awaited)
 {
     const auto span = monitor.schedule_tick(awaited);
     return monitor.tick(span, awaited);
 }
 
-// Lets the ticks come until something is to be done; gives the time it took.
+// The result of ticks that ran until an action was requested or the suspicion
+// changed, and the time until then.
 struct tick_result
 {
     action requested;
@@ -131,7 +132,8 @@
     EXPECT_TRUE(monitor.suspect());
     const auto given_up = run_until_change(monitor, awaited_response::due_soon);
     EXPECT_EQ(given_up.requested, action::give_up);
-    EXPECT_EQ(suspected.after + given_up.after, seconds(3)) << "as without it";
+    EXPECT_EQ(suspected.after + given_up.after, seconds(3))
+        << "the urgent limits changed the total";
 }
 
 } // namespace
--- a/nutmegusher/wire/server_stop_test.cpp
+++ b/nutmegusher/wire/server_stop_test.cpp
@@ -74,7 +74,7 @@
     int running = 0;
 };
 
-// Asks again and again until the server takes no more.
+// Sends requests until the session takes no more.
 asio::awaitable<void>
 send_until_stopped(client_session& session, request_counts& counts)
 {
@@ -129,7 +129,7 @@
     };
     co_await poll_until(all_ended);
     EXPECT_EQ(counts.other, 0);
-    // What was said not to be processed wasn't.
+    // Requests reported as not processed didn't reach the handler.
     EXPECT_EQ(handled, counts.complete);
 }
 
@@ -181,7 +181,7 @@
     std::string payload;
 };
 
-// GET / on the first stream, whole.
+// HEADERS of a complete GET / on stream 1.
 std::string first_request()
 {
     const std::string block("\x82\x86\x84\x41\4peer", 9);
@@ -218,7 +218,9 @@
     co_return frame;
 }
 
-// The answer to a PING of before the stop crosses the notice, with a request.
+// A PING sent before the stop is answered after the GOAWAY notice, together
+// with a request. The server must not take this answer for the confirmation of
+// the notice and refuse the request.
 asio::awaitable<void> late_ping_answer(asio::io_context& context)
 {
     int handled = 0;
@@ -255,7 +257,7 @@
     }
     EXPECT_EQ(handled, 1);
     EXPECT_EQ(observed.type, headers_frame)
-        << "refused after stream " << int{observed.payload.at(3)};
+        << "refused streams after " << int{observed.payload.at(3)};
 
     const auto confirmed = ping_answer(asked);
     co_await asio::async_write(
@@ -276,7 +278,8 @@
     run(context, late_ping_answer(context));
 }
 
-// A peer on a loop of its own, which may stand still while the server's runs.
+// A client on a separate io_context, which can be paused while the server's
+// runs.
 class paused_peer : public testing::Test
 {
 protected:
@@ -326,7 +329,7 @@
         loop.run_for(std::chrono::milliseconds(1));
     }
 
-    // What becomes of a request that the peer sends now.
+    // Sends a request and returns its outcome.
     outcome<std::string, stream_failure> send_request()
     {
         const auto opened = session->open(get("/"), true);
@@ -363,7 +366,7 @@
     const auto opened = session->open(get("/"), true);
     ASSERT_TRUE(opened);
     const auto answer = spawn(client_context, read_response(**opened));
-    // It is sent, and the server's loop doesn't run any more.
+    // The request is sent, but the server's loop doesn't run any more.
     run_for_one_ms(client_context);
     listening.reset();
     ASSERT_TRUE(run_until(answer, client_context));
@@ -371,7 +374,7 @@
     EXPECT_EQ(answer->value().error(), stream_failure::refused);
 }
 
-// Its answer isn't written: nobody knows how far it ran.
+// The response isn't sent, so nobody knows how far the handler ran.
 TEST_F(paused_peer, is_not_told_that_a_started_request_did_not_run)
 {
     const auto opened = session->open(post("/"), false);
@@ -470,7 +473,8 @@
     EXPECT_EQ(head->status, 503U);
 }
 
-// Calls of other daemons were cut at the limit of a stop.
+// Guards against calls of other daemons being cut when a stop reaches its time
+// limit.
 TEST(server, a_handler_may_answer_after_give_up)
 {
     asio::io_context context(1);
--- a/nutmegusher/wire/server_test.cpp
+++ b/nutmegusher/wire/server_test.cpp
@@ -59,7 +59,7 @@
     {
         if (stream->head().path == "/throw")
         {
-            throw std::runtime_error("a handler's fault");
+            throw std::runtime_error("handler failed");
         }
         static_cast<void>(co_await stream->write_head(response_head{}, false));
     };
@@ -112,8 +112,8 @@
     run(context, stream_limit(context));
 }
 
-// A client that opens and resets streams as fast as it can, while handlers
-// don't notice.
+// A client opens and resets streams as fast as it can, while the handlers
+// ignore the cancellation.
 asio::awaitable<void> rapid_reset(asio::io_context& context)
 {
     std::size_t running = 0;
@@ -166,7 +166,7 @@
     run(context, rapid_reset(context));
 }
 
-// The preface and empty SETTINGS of a client, then one frame without end.
+// Sends the client preface with empty SETTINGS, then the same frame 100 times.
 asio::awaitable<void> flood(asio::io_context& context, std::string frame)
 {
     session_options low_rate_limit;
--- a/nutmegusher/wire/session_pool_test.cpp
+++ b/nutmegusher/wire/session_pool_test.cpp
@@ -166,7 +166,8 @@
     run(context, caller_deadline(context));
 }
 
-// A listener that drops further connections, as a host without power does.
+// A listener with a full backlog. It drops further connection attempts, as a
+// host without power does.
 class full_backlog_listener
 {
 public:
@@ -187,7 +188,7 @@
 
 private:
     tcp::acceptor acceptor_;
-    // Takes the only place in the queue.
+    // Occupies the only place in the backlog.
     tcp::socket first_;
 };
 
--- a/nutmegusher/wire/session_test.cpp
+++ b/nutmegusher/wire/session_test.cpp
@@ -71,7 +71,7 @@
     run(context, concurrent_echoes(context, 200));
 }
 
-// Answers with the path, and with each field of the request.
+// Returns the request's method, path and fields as response fields.
 asio::awaitable<void> return_request_head(std::shared_ptr<server_stream> stream)
 {
     response_head head;
@@ -123,7 +123,7 @@
     const auto stream = (*session)->open(request, true);
     EXPECT_TRUE(stream);
     EXPECT_FALSE(co_await (*stream)->read_head());
-    // The connection isn't lost for it.
+    // The connection stays open.
     const auto next = (*session)->open(get("/"), true);
     EXPECT_TRUE(next);
     EXPECT_TRUE(co_await (*next)->read_head());
@@ -232,7 +232,7 @@
     EXPECT_TRUE(head);
     const auto body = co_await read_all(**stream);
     EXPECT_TRUE(body == make_body(1, 100000));
-    // The rest of the request isn't wanted any more.
+    // The server resets the rest of the request.
     const auto part = make_body(2, 100000);
     const auto bytes = std::as_bytes(std::span(part));
     auto written = co_await (*stream)->write(bytes, false);
@@ -305,8 +305,8 @@
     co_await sleep_for(std::chrono::hours(1));
 }
 
-// What is suspended when the loop goes away is destroyed with it; the
-// sanitizers watch.
+// Coroutines that are suspended when their io_context is destroyed are
+// destroyed with it; the sanitizers report leaks.
 TEST(session, destroying_the_io_context_destroys_suspended_streams)
 {
     asio::io_context context(1);
--- a/nutmegusher/wire/silence_test.cpp
+++ b/nutmegusher/wire/silence_test.cpp
@@ -1,4 +1,4 @@
-// Connections that go silent while new ones work.
+// Tests with connections that go silent while new ones work.
 #include "nutmegusher/wire/wire_test_relay.hpp"
 
 namespace nutmegusher::wire
@@ -16,7 +16,7 @@
     return options;
 }
 
-// Never answers; the request waits.
+// Waits for cancellation without ever answering.
 asio::awaitable<void> wait_for_cancel(std::shared_ptr<server_stream> stream)
 {
     const auto cancelled = [stream]
@@ -31,7 +31,7 @@
     const auto server =
         listen_or_fail(context, wait_for_cancel, quick_options());
     tcp_relay relay(context, server->local_endpoint());
-    // Suspect long before it is given up.
+    // The session is suspect long before it is closed.
     auto options = quick_options();
     options.give_up_timeout = std::chrono::seconds(1);
     session_pool pool(context, options);
@@ -60,7 +60,7 @@
     const auto head = co_await (*stream)->read_head();
     EXPECT_FALSE(head);
     EXPECT_EQ(head.error(), stream_failure::silent);
-    // The server finds out too, so that its handler stops.
+    // The server detects the silence too, and cancels its handler.
     const auto none_open = [&server]
     {
         return server->open_streams() == 0;
@@ -101,7 +101,7 @@
 
 asio::awaitable<void> accepting_only(asio::io_context& context)
 {
-    // The kernel accepts for a process that doesn't run.
+    // The kernel accepts connections for a process that doesn't run.
     tcp::acceptor acceptor(context, any_port());
     auto options = quick_options();
     options.connect_timeout = std::chrono::milliseconds(200);
@@ -117,7 +117,7 @@
     run(context, accepting_only(context));
 }
 
-// A quiet peer that lives: the handler takes long, the PINGs are answered.
+// A quiet but live peer: the handler takes long, and PINGs are answered.
 asio::awaitable<void> slow_handler(asio::io_context& context)
 {
     const auto work =
@@ -143,8 +143,8 @@
     run(context, slow_handler(context));
 }
 
-// Two calls on a session that goes silent: the one that can be sent elsewhere
-// fails while the session is suspect, the other one when it is given up.
+// Two calls on a session that goes silent: the retryable one fails once the
+// session is suspect, the other one only when the session is closed.
 asio::awaitable<void> retryable_and_not(asio::io_context& context)
 {
     const auto server =
@@ -169,8 +169,8 @@
     const auto head = co_await (*retryable)->read_head();
     EXPECT_FALSE(head);
     EXPECT_EQ(head.error(), stream_failure::silent);
-    EXPECT_FALSE((*session)->usable()) << "suspect, not replaced";
-    EXPECT_EQ(server->open_streams(), 2U) << "not given up as a whole";
+    EXPECT_FALSE((*session)->usable()) << "the session isn't suspect";
+    EXPECT_EQ(server->open_streams(), 2U) << "the session was closed";
 }
 
 TEST(silence, retryable_streams_fail_when_the_session_is_suspect)
@@ -179,8 +179,8 @@
     run(context, retryable_and_not(context));
 }
 
-// A call came and went, the session idles, and then it falls silent under the
-// next call: that one is found out in the time of an open call.
+// After a call has ended the session falls silent while idle. The next call
+// must detect it within the limits of an open call, not of an idle session.
 asio::awaitable<void> silent_between_calls(asio::io_context& context)
 {
     const auto server = listen_or_fail(context, echo, quick_options());
@@ -207,8 +207,7 @@
     run(context, silent_between_calls(context));
 }
 
-// A session that was used and then idles; the peer is asked before the next
-// request.
+// A used session idles; the peer is confirmed before the next request.
 asio::awaitable<void> confirm_live_and_silent(asio::io_context& context)
 {
     const auto server = listen_or_fail(context, echo, quick_options());
--- a/nutmegusher/wire/transfer_test.cpp
+++ b/nutmegusher/wire/transfer_test.cpp
@@ -1,4 +1,4 @@
-// Whole bodies, cut bodies, and how much of them is in memory.
+// Transfers of large bodies: integrity, truncation, and bounded memory.
 #include "nutmegusher/wire/wire_test_relay.hpp"
 
 namespace nutmegusher::wire
@@ -9,7 +9,7 @@
 constexpr std::size_t large_body_bytes = 50 * 1024 * 1024;
 constexpr std::size_t chunk_bytes = 40000;
 
-// What the writer has given and the reader has taken.
+// Bytes written and read so far, and the maximum of their difference.
 struct transfer_counts
 {
     std::size_t written = 0;
@@ -22,7 +22,8 @@
     }
 };
 
-// The bytes at an offset of the dossier; cheap to compute on both ends.
+// Fills `part` with the body's bytes at an offset; cheap to compute on both
+// ends.
 void fill_large_body(std::span<std::byte> part, std::size_t offset)
 {
     for (std::size_t i = 0; i < part.size(); ++i)
@@ -73,7 +74,7 @@
     }
 }
 
-// Whatever the reader hasn't taken is within one window and one buffer.
+// Unread bytes fit into one stream window, one write buffer and one chunk.
 void expect_bounded(const transfer_counts& counts)
 {
     const session_options limits;
@@ -98,7 +99,7 @@
     EXPECT_TRUE(session);
     const auto stream = (*session)->open(get("/dossier"), true);
     EXPECT_TRUE(stream);
-    // The writer fills all that it may while nobody reads.
+    // The writer fills the window and its buffer while nobody reads.
     const auto some_arrived = [&stream]
     {
         return (*stream)->buffered_bytes() > 0;
@@ -197,7 +198,7 @@
     static_cast<void>(co_await stream->write(bytes, true));
 }
 
-// The connection is cut after each count of bytes in turn.
+// Cuts the connection after a different byte count in each round.
 asio::awaitable<void> cut_everywhere(asio::io_context& context)
 {
     const auto server = listen_or_fail(context, answer_of_known_size);
--- a/nutmegusher/wire/wire_test_relay.hpp
+++ b/nutmegusher/wire/wire_test_relay.hpp
@@ -1,4 +1,5 @@
-// A TCP relay inside the test's process, which loses track of connections.
+// An in-process TCP relay that can stop forwarding without closing connections,
+// or close them in the middle of a response.
 #ifndef NUTMEGUSHER_WIRE_WIRE_TEST_RELAY_HPP
 #define NUTMEGUSHER_WIRE_WIRE_TEST_RELAY_HPP
 
@@ -39,8 +40,8 @@
         return state_->acceptor.local_endpoint();
     }
 
-    // The connections of now carry nothing any more, in both directions, and
-    // stay open. New ones work.
+    // Stops forwarding on the present connections, in both directions, and
+    // keeps them open. New connections work.
     void silence()
     {
         for (const auto& current_link : state_->links)
@@ -49,7 +50,7 @@
         }
     }
 
-    // From now on a connection is closed after so many bytes of the answers.
+    // Closes each connection accepted from now on after `bytes` response bytes.
     void cut_answers_after(std::size_t bytes)
     {
         state_->answer_limit = bytes;
--- a/nutmegusher/wire/wire_test_support.hpp
+++ b/nutmegusher/wire/wire_test_support.hpp
@@ -1,5 +1,5 @@
-// What the tests of this package share: a loop to run coroutines on, and
-// handlers that answer.
+// Shared test support: running coroutines on an io_context, and simple
+// handlers.
 #ifndef NUTMEGUSHER_WIRE_WIRE_TEST_SUPPORT_HPP
 #define NUTMEGUSHER_WIRE_WIRE_TEST_SUPPORT_HPP
 
@@ -22,7 +22,7 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// Far above what any step takes; a test that reaches it has failed.
+// Far longer than any step takes; a test that reaches it has failed.
 inline constexpr std::chrono::seconds test_timeout{60};
 
 inline tcp::endpoint any_port()
@@ -30,7 +30,7 @@
     return {asio::ip::make_address("127.0.0.1"), 0};
 }
 
-// Runs the loop until the coroutine has ended.
+// Runs the event loop until the coroutine has ended.
 inline void run(asio::io_context& context, asio::awaitable<void> test)
 {
     bool done = false;
@@ -38,7 +38,7 @@
     {
         done = true;
         context.stop();
-        EXPECT_FALSE(failure) << "the test's coroutine has thrown";
+        EXPECT_FALSE(failure) << "the test coroutine threw an exception";
     };
     asio::co_spawn(context, std::move(test), finished);
     context.restart();
@@ -53,7 +53,7 @@
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-// Lets the loop run until `condition` holds.
+// Runs the event loop until `condition` holds; checks it every millisecond.
 template <class Condition>
 asio::awaitable<void> poll_until(Condition condition)
 {
@@ -91,7 +91,7 @@
     return head;
 }
 
-// What a client says first: the preface and empty SETTINGS.
+// The first bytes of a client: the preface and empty SETTINGS.
 inline std::string client_preface()
 {
     const std::string preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
@@ -99,7 +99,7 @@
     return preface + settings;
 }
 
-// The same bytes for the same seed, none of them like another seed's.
+// Pseudo-random bytes, determined by the seed and different for each seed.
 inline std::string make_body(std::uint64_t seed, std::size_t size)
 {
     random_engine engine(seed);
@@ -111,7 +111,8 @@
     return body;
 }
 
-// The whole body, or why there is none. `Stream` is either end.
+// Reads the whole body, or returns the failure. `Stream` is a client or server
+// stream.
 template <class Stream>
 asio::awaitable<outcome<std::string, stream_failure>> read_all(Stream& stream)
 {
@@ -132,7 +133,7 @@
     }
 }
 
-// Answers with the request's body.
+// Answers with the body of the request.
 inline asio::awaitable<void> echo(std::shared_ptr<server_stream> stream)
 {
     const auto body = co_await read_all(*stream);
@@ -149,7 +150,8 @@
     }
 }
 
-// Answers when the test says so.
+// Holds back answers until `open` is set, and counts handler starts and
+// cancellations.
 struct gate
 {
     bool open = false;
@@ -180,7 +182,7 @@
     };
 }
 
-// The whole answer, or why there is none.
+// Reads the head and whole body of the response, or returns the failure.
 inline asio::awaitable<outcome<std::string, stream_failure>>
 read_response(client_stream& stream)
 {
