--- a/nutmegusher/wire/session_options.hpp
+++ b/nutmegusher/wire/session_options.hpp
@@ -25,8 +25,8 @@
     // lost packet isn't taken for silence.
     duration silence_timeout = std::chrono::seconds(1);
     // The ping interval and silence timeout while a stream waits for an answer
-    // that is due soon. Its retryable streams then fail with `silent` as soon
-    // as the session is suspect. Calls have a time limit of 0.7 s or more, so
+    // that is due soon. The session's retryable streams then fail with `silent`
+    // as soon as it is suspect. Calls have a time limit of 0.7 s or more, so
     // enough time is left to run the call elsewhere. Longer than one TCP
     // retransmission timeout; a second consecutive packet loss costs a retry.
     duration urgent_ping_interval = std::chrono::milliseconds(150);
