--- a/nutmegusher/wire/server_stop_test.cpp
+++ b/nutmegusher/wire/server_stop_test.cpp
@@ -17,8 +17,8 @@
 
 asio::awaitable<void> graceful_stop(asio::io_context& context)
 {
-    gate watched;
-    const auto server = listen_or_fail(context, gated_echo(watched));
+    gate handler_gate;
+    const auto server = listen_or_fail(context, gated_echo(handler_gate));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
@@ -26,9 +26,9 @@
     const auto stream = (*session)->open(post("/echo"), false);
     EXPECT_TRUE(stream);
     const auto bytes = std::as_bytes(std::span(body));
-    const auto entered = [&watched]
+    const auto entered = [&handler_gate]
     {
-        return watched.entered == 1;
+        return handler_gate.entered == 1;
     };
     co_await poll_until(entered);
 
@@ -45,7 +45,7 @@
     EXPECT_EQ(late.error(), stream_failure::not_connected);
     EXPECT_FALSE(stopped);
 
-    watched.open = true;
+    handler_gate.open = true;
     const auto written = co_await (*stream)->write(bytes, true);
     EXPECT_TRUE(written);
     const auto answer = co_await read_response(**stream);
@@ -57,7 +57,7 @@
     };
     co_await poll_until(has_stopped);
     EXPECT_EQ(server->connections(), 0U);
-    EXPECT_EQ(watched.cancelled, 0);
+    EXPECT_EQ(handler_gate.cancelled, 0);
 }
 
 TEST(server, a_graceful_stop_cuts_nothing_in_flight)
@@ -68,13 +68,13 @@
 
 struct request_counts
 {
-    int whole = 0;
+    int complete = 0;
     int not_processed = 0;
     int other = 0;
     int running = 0;
 };
 
-// Asks again and again until the server takes no more.
+// Sends requests until the session takes no more.
 asio::awaitable<void>
 send_until_stopped(client_session& session, request_counts& counts)
 {
@@ -89,7 +89,7 @@
         const auto answer = co_await read_response(**stream);
         if (answer)
         {
-            ++counts.whole;
+            ++counts.complete;
             continue;
         }
         const bool unprocessed = certainly_not_processed(answer.error());
@@ -119,7 +119,7 @@
     }
     const auto under_load = [&counts]
     {
-        return counts.whole > 1000;
+        return counts.complete > 1000;
     };
     co_await poll_until(under_load);
     co_await server->stop_gracefully(test_timeout);
@@ -129,8 +129,8 @@
     };
     co_await poll_until(all_ended);
     EXPECT_EQ(counts.other, 0);
-    // What was said not to be processed wasn't.
-    EXPECT_EQ(handled, counts.whole);
+    // Requests reported as not processed didn't reach the handler.
+    EXPECT_EQ(handled, counts.complete);
 }
 
 TEST(server, a_stop_under_load_answers_or_refuses_each_request)
@@ -141,16 +141,16 @@
 
 asio::awaitable<void> stop_limit(asio::io_context& context)
 {
-    gate watched;
-    const auto server = listen_or_fail(context, gated_echo(watched));
+    gate handler_gate;
+    const auto server = listen_or_fail(context, gated_echo(handler_gate));
     const auto session = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     EXPECT_TRUE(session);
     const auto stream = (*session)->open(get("/"), true);
     EXPECT_TRUE(stream);
-    const auto entered = [&watched]
+    const auto entered = [&handler_gate]
     {
-        return watched.entered == 1;
+        return handler_gate.entered == 1;
     };
     co_await poll_until(entered);
     co_await server->stop_gracefully(std::chrono::milliseconds(50));
@@ -158,9 +158,9 @@
     const auto answer = co_await read_response(**stream);
     EXPECT_FALSE(answer);
     EXPECT_EQ(answer.error(), stream_failure::cut);
-    const auto observed = [&watched]
+    const auto observed = [&handler_gate]
     {
-        return watched.cancelled == 1;
+        return handler_gate.cancelled == 1;
     };
     co_await poll_until(observed);
 }
@@ -181,7 +181,7 @@
     std::string payload;
 };
 
-// GET / on the first stream, whole.
+// HEADERS of a complete GET / on stream 1.
 std::string first_request()
 {
     const std::string block("\x82\x86\x84\x41\4peer", 9);
@@ -218,7 +218,9 @@
     co_return frame;
 }
 
-// The answer to a PING of before the stop crosses the notice, with a request.
+// A PING sent before the stop is answered after the GOAWAY notice, together
+// with a request. The server must not take this answer for the confirmation of
+// the notice and refuse the request.
 asio::awaitable<void> late_ping_answer(asio::io_context& context)
 {
     int handled = 0;
@@ -228,9 +230,9 @@
         ++handled;
         co_await echo(stream);
     };
-    session_options quick;
-    quick.idle_ping_interval = std::chrono::milliseconds(5);
-    const auto server = listen_or_fail(context, serve, quick);
+    session_options short_timeouts;
+    short_timeouts.idle_ping_interval = std::chrono::milliseconds(5);
+    const auto server = listen_or_fail(context, serve, short_timeouts);
     tcp::socket socket(context);
     co_await socket.async_connect(
         server->local_endpoint(), asio::use_awaitable);
@@ -255,7 +257,7 @@
     }
     EXPECT_EQ(handled, 1);
     EXPECT_EQ(observed.type, headers_frame)
-        << "refused after stream " << int{observed.payload.at(3)};
+        << "refused streams after " << int{observed.payload.at(3)};
 
     const auto confirmed = ping_answer(asked);
     co_await asio::async_write(
@@ -270,13 +272,14 @@
     co_await poll_until(has_stopped);
 }
 
-TEST(server, a_stop_refuses_no_request_that_it_runs)
+TEST(server, a_stop_serves_requests_sent_before_the_goaway_was_confirmed)
 {
     asio::io_context context(1);
     run(context, late_ping_answer(context));
 }
 
-// A peer on a loop of its own, which may stand still while the server's runs.
+// A client on a separate io_context, which can be paused while the server's
+// runs.
 class paused_peer : public testing::Test
 {
 protected:
@@ -326,7 +329,7 @@
         loop.run_for(std::chrono::milliseconds(1));
     }
 
-    // What becomes of a request that the peer sends now.
+    // Sends a request and returns its outcome.
     outcome<std::string, stream_failure> send_request()
     {
         const auto opened = session->open(get("/"), true);
@@ -358,12 +361,12 @@
     EXPECT_EQ(answer.error(), stream_failure::refused);
 }
 
-TEST_F(paused_peer, knows_that_a_request_that_nobody_read_did_not_run)
+TEST_F(paused_peer, knows_that_an_unread_request_did_not_run)
 {
     const auto opened = session->open(get("/"), true);
     ASSERT_TRUE(opened);
     const auto answer = spawn(client_context, read_response(**opened));
-    // It is sent, and the server's loop doesn't run any more.
+    // The request is sent, but the server's loop doesn't run any more.
     run_for_one_ms(client_context);
     listening.reset();
     ASSERT_TRUE(run_until(answer, client_context));
@@ -371,8 +374,8 @@
     EXPECT_EQ(answer->value().error(), stream_failure::refused);
 }
 
-// Its answer isn't written: nobody knows how far it ran.
-TEST_F(paused_peer, is_not_told_that_a_request_that_began_did_not_run)
+// The response isn't sent, so nobody knows how far the handler ran.
+TEST_F(paused_peer, is_not_told_that_a_started_request_did_not_run)
 {
     const auto opened = session->open(post("/"), false);
     ASSERT_TRUE(opened);
@@ -393,8 +396,8 @@
 
 asio::awaitable<void> close_idle_and_busy_sessions(asio::io_context& context)
 {
-    gate watched;
-    const auto server = listen_or_fail(context, gated_echo(watched));
+    gate handler_gate;
+    const auto server = listen_or_fail(context, gated_echo(handler_gate));
     const auto busy = co_await client_session::connect(
         context, server->local_endpoint(), session_options{});
     const auto idle = co_await client_session::connect(
@@ -402,9 +405,9 @@
     EXPECT_TRUE(busy && idle);
     const auto begun = (*busy)->open(get("/"), true);
     EXPECT_TRUE(begun);
-    const auto entered = [&watched]
+    const auto entered = [&handler_gate]
     {
-        return watched.entered == 1;
+        return handler_gate.entered == 1;
     };
     co_await poll_until(entered);
     server->close_unconfirmed_sessions();
@@ -413,10 +416,10 @@
     const auto refused = co_await read_response(**late);
     EXPECT_FALSE(refused);
     EXPECT_EQ(refused.error(), stream_failure::refused);
-    watched.open = true;
+    handler_gate.open = true;
     const auto answer = co_await read_response(**begun);
     EXPECT_TRUE(answer);
-    EXPECT_EQ(watched.entered, 1);
+    EXPECT_EQ(handler_gate.entered, 1);
     const auto all_closed = [&server]
     {
         return server->connections() == 0;
@@ -470,7 +473,8 @@
     EXPECT_EQ(head->status, 503U);
 }
 
-// Calls of other daemons were cut at the limit of a stop.
+// Guards against calls of other daemons being cut when a stop reaches its time
+// limit.
 TEST(server, a_handler_may_answer_after_give_up)
 {
     asio::io_context context(1);
