--- a/bench/overload_bench.cpp
+++ b/bench/overload_bench.cpp
@@ -61,7 +61,8 @@
         {
             auto& [all, completed] = windows[since / window];
             all += 1;
-            completed += record.view == ts::caller_view::completed ? 1 : 0;
+            completed +=
+                record.outcome == ts::caller_outcome::completed ? 1 : 0;
         }
     }
     std::int64_t last_bad = -1;
@@ -90,7 +91,8 @@
         if (inside && (name.empty() || record.class_name == name))
         {
             all += 1;
-            completed += record.view == ts::caller_view::completed ? 1 : 0;
+            completed +=
+                record.outcome == ts::caller_outcome::completed ? 1 : 0;
         }
     }
     const double seconds = std::chrono::duration<double>(surge).count();
--- a/testing/address_block.cpp
+++ b/testing/address_block.cpp
@@ -32,8 +32,8 @@
     std::string prefix;
 };
 
-address_block::address_block(std::shared_ptr<reservation> held)
-    : held_(std::move(held))
+address_block::address_block(std::shared_ptr<reservation> reserved)
+    : reservation_(std::move(reserved))
 {
 }
 
@@ -44,22 +44,23 @@
     const auto start = static_cast<std::uint32_t>(getpid()) * 31;
     for (std::uint32_t i = 0; i < block_count; ++i)
     {
-        auto held = std::make_shared<reservation>();
-        held->prefix = block_prefix(first_block + (start + i) % block_count);
-        const auto place =
-            make_endpoint(held->prefix + "254", reservation_port);
-        held->acceptor.open(place.protocol(), error);
+        auto reserved = std::make_shared<reservation>();
+        reserved->prefix =
+            block_prefix(first_block + (start + i) % block_count);
+        const auto endpoint =
+            make_endpoint(reserved->prefix + "254", reservation_port);
+        reserved->acceptor.open(endpoint.protocol(), error);
         if (!error)
         {
-            held->acceptor.bind(place, error);
+            reserved->acceptor.bind(endpoint, error);
         }
         if (!error)
         {
-            held->acceptor.listen(1, error);
+            reserved->acceptor.listen(1, error);
         }
         if (!error)
         {
-            return address_block(std::move(held));
+            return address_block(std::move(reserved));
         }
     }
     return error;
@@ -67,7 +68,7 @@
 
 std::string address_block::ip(std::uint32_t host) const
 {
-    return held_->prefix + std::to_string(host);
+    return reservation_->prefix + std::to_string(host);
 }
 
 std::string address_block::address(std::uint32_t host, std::uint16_t port) const
--- a/testing/address_block.hpp
+++ b/testing/address_block.hpp
@@ -30,9 +30,9 @@
 
 private:
     struct reservation;
-    explicit address_block(std::shared_ptr<reservation> held);
+    explicit address_block(std::shared_ptr<reservation> reserved);
 
-    std::shared_ptr<reservation> held_;
+    std::shared_ptr<reservation> reservation_;
 };
 
 } // namespace nutmegusher::test_support
--- a/testing/at_most_once_test.cpp
+++ b/testing/at_most_once_test.cpp
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 constexpr double rate = 60.0;
-constexpr double most = 0.95;
+constexpr double min_completed_share = 0.95;
 
 class at_most_once : public proof
 {
@@ -31,7 +31,7 @@
     {
         for (auto& record : records)
         {
-            if (record.view == caller_view::unknown)
+            if (record.outcome == caller_outcome::unknown)
             {
                 ask_again(record);
             }
@@ -51,19 +51,19 @@
             {"idempotency-key", record.key}};
         request.body.resize(offered.body_bytes);
         fill_pattern(record.token, 0, request.body);
-        const auto answer = send_request(here->daemon_callers(0), request);
+        const auto answer = send_request(cluster->daemon_callers(0), request);
         if (answer && answer->header("nutmeg-outcome") == "completed")
         {
-            record.view = caller_view::completed;
+            record.outcome = caller_outcome::completed;
         }
     }
 };
 
 TEST_F(at_most_once, callers_that_give_up_early_and_retry_elsewhere)
 {
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
-        here->control_upstream(i, R"({"late_ms": 300})");
+        cluster->control_upstream(i, R"({"late_ms": 300})");
     }
     auto offered = offered_payout(rate);
     offered.timeout = milliseconds(150);
@@ -76,10 +76,10 @@
 TEST_F(at_most_once, the_same_key_twice_at_the_same_moment)
 {
     std::vector<running_load> racing;
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
         auto options = load({offered_payout(rate)}, 2);
-        options.daemons = {here->daemon_callers(i)};
+        options.daemons = {cluster->daemon_callers(i)};
         options.prefix = "same";
         racing.push_back(run_beside(options));
     }
@@ -90,11 +90,11 @@
         // Of three callers with one key, one's "not run" doesn't speak for
         // the others' tries.
         for (const auto& [token, count] :
-             here->executions_by_token("disbursement"))
+             cluster->executions_by_token("disbursement"))
         {
             EXPECT_LE(count.started, 1U) << token;
         }
-        completed += count_view(records, caller_view::completed);
+        completed += count_outcome(records, caller_outcome::completed);
     }
     EXPECT_GT(completed, 0U);
 }
@@ -103,9 +103,9 @@
 {
     const auto options = load({offered_payout(rate)}, 1);
     const auto first = run_load(options);
-    expect_completed(first, most);
+    expect_completed(first, min_completed_share);
     const auto second = run_load(options);
-    expect_completed(second, most);
+    expect_completed(second, min_completed_share);
     expect_no_violation(first);
     expect_no_violation(second);
 }
@@ -118,31 +118,32 @@
     request.headers = {
         {"x-token", "k"}, {"nutmeg-customer", "c"}, {"idempotency-key", "k"}};
     request.body = "amount=5";
-    const auto first = send_request(here->daemon_callers(0), request);
+    const auto first = send_request(cluster->daemon_callers(0), request);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->status, 200) << first->header("nutmeg-reason");
     request.body = "amount=6";
-    const auto second = send_request(here->daemon_callers(1), request);
+    const auto second = send_request(cluster->daemon_callers(1), request);
     ASSERT_TRUE(second);
     EXPECT_EQ(second->status, 422);
     EXPECT_EQ(second->header("nutmeg-reason"), "key-reused");
     EXPECT_EQ(second->header("nutmeg-outcome"), "not-run");
-    EXPECT_EQ(here->executions_by_token("disbursement").at("k").started, 1U);
+    EXPECT_EQ(cluster->executions_by_token("disbursement").at("k").started, 1U);
 }
 
 TEST_F(at_most_once, daemons_killed_while_payouts_run)
 {
     auto running = run_beside(load({offered_payout(rate)}, 4));
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
         EXPECT_TRUE(wait_started("disbursement", 20));
-        here->daemon(i).kill();
+        cluster->daemon(i).kill();
         EXPECT_TRUE(wait_started("disbursement", 10));
-        EXPECT_TRUE(here->restart_daemon(i));
+        EXPECT_TRUE(cluster->restart_daemon(i));
         EXPECT_TRUE(wait_until(
             [&]
             {
-                return configuration_of(here->daemon_operators(i)).has_value();
+                return configuration_of(cluster->daemon_operators(i))
+                    .has_value();
             }));
     }
     auto records = running.get();
@@ -155,12 +156,12 @@
 TEST_F(at_most_once, upstreams_killed_while_payouts_run)
 {
     auto running = run_beside(load({offered_payout(rate)}, 3));
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
         EXPECT_TRUE(wait_started("disbursement", 20));
-        here->upstream(i).kill();
+        cluster->upstream(i).kill();
         EXPECT_TRUE(wait_started("disbursement", 10));
-        EXPECT_TRUE(here->restart_upstream(i));
+        EXPECT_TRUE(cluster->restart_upstream(i));
     }
     const auto records = running.get();
     expect_no_violation(records);
@@ -171,10 +172,10 @@
 {
     auto running = run_beside(load({offered_payout(rate)}, 5));
     EXPECT_TRUE(wait_started("disbursement", 20));
-    here->daemon(0).freeze();
+    cluster->daemon(0).freeze();
     EXPECT_TRUE(wait_started("disbursement", 20));
     std::this_thread::sleep_for(seconds(2));
-    here->daemon(0).thaw();
+    cluster->daemon(0).thaw();
     const auto records = running.get();
     expect_no_violation(records);
     expect_completed(records, 0.3);
@@ -184,11 +185,11 @@
 {
     auto running = run_beside(load({offered_payout(rate)}, 4));
     EXPECT_TRUE(wait_started("disbursement", 20));
-    here->upstream(0).freeze();
+    cluster->upstream(0).freeze();
     EXPECT_TRUE(wait_started("disbursement", 10));
-    here->daemon(0).kill();
-    here->upstream(0).thaw();
-    EXPECT_TRUE(here->restart_daemon(0));
+    cluster->daemon(0).kill();
+    cluster->upstream(0).thaw();
+    EXPECT_TRUE(cluster->restart_daemon(0));
     expect_no_violation(running.get());
 }
 
@@ -199,14 +200,14 @@
     for (std::size_t i = 0; i < 2; ++i)
     {
         EXPECT_TRUE(wait_started("disbursement", 20));
-        here->control(i).kill();
+        cluster->control(i).kill();
         EXPECT_TRUE(wait_started("disbursement", 20));
-        EXPECT_TRUE(here->restart_control(i));
+        EXPECT_TRUE(cluster->restart_control(i));
     }
     EXPECT_TRUE(wait_started("disbursement", 10));
-    here->control(2).kill();
-    here->empty_control_folder(2);
-    EXPECT_TRUE(here->restart_control(2));
+    cluster->control(2).kill();
+    cluster->remove_control_data(2);
+    EXPECT_TRUE(cluster->restart_control(2));
     const auto first = running.get();
     expect_no_violation(first);
     expect_completed(first, 0.5);
@@ -218,8 +219,8 @@
 
 TEST_F(at_most_once, control_majority_lost_refuses_and_does_not_run)
 {
-    here->control(0).kill();
-    here->control(1).kill();
+    cluster->control(0).kill();
+    cluster->control(1).kill();
     auto offered = offered_payout(rate);
     offered.timeout = milliseconds(800);
     auto options = load({offered}, 2);
@@ -227,9 +228,9 @@
     const auto records = run_load(options);
     expect_no_violation(records);
     EXPECT_EQ(
-        count_view(records, caller_view::completed) +
-            count_view(records, caller_view::not_run) +
-            count_view(records, caller_view::unknown),
+        count_outcome(records, caller_outcome::completed) +
+            count_outcome(records, caller_outcome::not_run) +
+            count_outcome(records, caller_outcome::unknown),
         records.size());
 }
 
--- a/testing/configuration_test.cpp
+++ b/testing/configuration_test.cpp
@@ -48,20 +48,20 @@
     void learn_view_revision()
     {
         const auto conflict = settle_change(
-            here->all_control_operators(),
+            cluster->all_control_operators(),
             target_change("learn", wrong_revision, "view", 1));
         ASSERT_EQ(conflict.outcome, change_outcome::conflict);
         view_revision = conflict.revision;
-        reachable = here->all_control_operators();
+        reachable = cluster->all_control_operators();
     }
 
-    [[nodiscard]] bool everywhere(std::uint32_t latency_ms) const
+    [[nodiscard]] bool in_force_everywhere(std::uint32_t latency_ms) const
     {
-        for (std::size_t i = 0; i < here->daemon_count(); ++i)
+        for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
         {
             const auto in_force = [&]
             {
-                const auto now = configuration_of(here->daemon_operators(i));
+                const auto now = configuration_of(cluster->daemon_operators(i));
                 return now && now->targets.count("view") > 0 &&
                        now->targets.at("view") == latency_ms;
             };
@@ -96,16 +96,16 @@
 
     void watch()
     {
-        std::vector<std::uint64_t> highest(here->daemon_count(), 0);
+        std::vector<std::uint64_t> highest(cluster->daemon_count(), 0);
         while (watching)
         {
             for (std::size_t i = 0; i < highest.size(); ++i)
             {
                 const auto now = configuration_of(
-                    here->daemon_operators(i), milliseconds(300));
+                    cluster->daemon_operators(i), milliseconds(300));
                 if (now && now->revision > 0)
                 {
-                    steps_back += now->revision < highest[i] ? 1 : 0;
+                    reversions += now->revision < highest[i] ? 1 : 0;
                     highest[i] = std::max(highest[i], now->revision);
                 }
             }
@@ -118,7 +118,7 @@
     std::uint64_t view_revision = 0;
     std::uint32_t changes = 0;
     std::atomic<bool> watching = false;
-    std::atomic<std::uint32_t> steps_back = 0;
+    std::atomic<std::uint32_t> reversions = 0;
     std::thread watcher;
 };
 
@@ -126,7 +126,7 @@
 {
     learn_view_revision();
     ASSERT_EQ(set_view_target(1111).outcome, change_outcome::accepted);
-    EXPECT_TRUE(everywhere(1111)) << here->logs();
+    EXPECT_TRUE(in_force_everywhere(1111)) << cluster->logs();
 }
 
 TEST_F(configuration, survives_the_kill_of_everything)
@@ -134,26 +134,26 @@
     learn_view_revision();
     ASSERT_EQ(set_view_target(1234).outcome, change_outcome::accepted);
     start_watch();
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        here->control(i).kill();
+        cluster->control(i).kill();
     }
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
-        here->daemon(i).kill();
+        cluster->daemon(i).kill();
     }
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        ASSERT_TRUE(here->restart_control(i));
+        ASSERT_TRUE(cluster->restart_control(i));
     }
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
-        ASSERT_TRUE(here->restart_daemon(i));
+        ASSERT_TRUE(cluster->restart_daemon(i));
     }
-    EXPECT_TRUE(everywhere(1234)) << here->logs();
+    EXPECT_TRUE(in_force_everywhere(1234)) << cluster->logs();
     ASSERT_EQ(set_view_target(1235).outcome, change_outcome::accepted);
-    EXPECT_TRUE(everywhere(1235)) << here->logs();
-    EXPECT_EQ(steps_back, 0U);
+    EXPECT_TRUE(in_force_everywhere(1235)) << cluster->logs();
+    EXPECT_EQ(reversions, 0U);
 }
 
 TEST_F(configuration, restart_after_hundreds_of_changes)
@@ -164,14 +164,14 @@
     {
         ASSERT_EQ(set_view_target(1000 + i).outcome, change_outcome::accepted);
     }
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        here->control(i).kill();
-        ASSERT_TRUE(here->restart_control(i));
+        cluster->control(i).kill();
+        ASSERT_TRUE(cluster->restart_control(i));
     }
-    here->daemon(0).kill();
-    ASSERT_TRUE(here->restart_daemon(0));
-    EXPECT_TRUE(everywhere(1000 + change_count)) << here->logs();
+    cluster->daemon(0).kill();
+    ASSERT_TRUE(cluster->restart_daemon(0));
+    EXPECT_TRUE(in_force_everywhere(1000 + change_count)) << cluster->logs();
 }
 
 TEST_F(configuration, of_racing_operators_one_wins)
@@ -192,7 +192,7 @@
                 {
                     const auto change = target_change(
                         id, view_revision, "view", 2000 + 10 * round + i);
-                    auto hosts = here->all_control_operators();
+                    auto hosts = cluster->all_control_operators();
                     std::rotate(
                         hosts.begin(),
                         hosts.begin() + i % hosts.size(),
@@ -222,11 +222,12 @@
     const auto change = target_change("once", view_revision, "view", 1500);
     const auto first = settle_change(reachable, change);
     ASSERT_EQ(first.outcome, change_outcome::accepted);
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        here->control(i).kill();
-        ASSERT_TRUE(here->restart_control(i));
-        const auto again = settle_change({here->control_operators(i)}, change);
+        cluster->control(i).kill();
+        ASSERT_TRUE(cluster->restart_control(i));
+        const auto again =
+            settle_change({cluster->control_operators(i)}, change);
         EXPECT_EQ(again.outcome, change_outcome::accepted);
         EXPECT_EQ(again.revision, first.revision);
     }
@@ -234,108 +235,108 @@
     const auto other = settle_change(
         reachable, target_change("once", view_revision, "view", 1501));
     EXPECT_NE(other.outcome, change_outcome::accepted);
-    EXPECT_TRUE(everywhere(1500));
+    EXPECT_TRUE(in_force_everywhere(1500));
 }
 
 TEST_F(configuration, isolated_control_host_accepts_nothing)
 {
     learn_view_revision();
     start_watch();
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        here->isolate_control(i, true);
-        reachable = here->all_control_operators();
+        cluster->isolate_control(i, true);
+        reachable = cluster->all_control_operators();
         const auto isolated = reachable[i];
         reachable.erase(reachable.begin() + static_cast<std::ptrdiff_t>(i));
         const auto latency = 1600 + static_cast<std::uint32_t>(i);
         ASSERT_EQ(set_view_target(latency).outcome, change_outcome::accepted)
-            << here->logs();
-        EXPECT_TRUE(everywhere(latency)) << here->logs();
+            << cluster->logs();
+        EXPECT_TRUE(in_force_everywhere(latency)) << cluster->logs();
         const auto lonely = send_change(
             isolated,
             target_change(
                 "lonely-" + std::to_string(i), view_revision, "view", 9000),
             seconds(8));
         EXPECT_NE(lonely.outcome, change_outcome::accepted);
-        here->isolate_control(i, false);
+        cluster->isolate_control(i, false);
     }
-    EXPECT_TRUE(everywhere(1602));
-    EXPECT_EQ(steps_back, 0U);
+    EXPECT_TRUE(in_force_everywhere(1602));
+    EXPECT_EQ(reversions, 0U);
 }
 
 TEST_F(configuration, control_host_without_a_leader_holds_no_daemon_back)
 {
     learn_view_revision();
     start_watch();
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        here->part_control(i, true);
-        reachable = here->all_control_operators();
+        cluster->partition_control(i, true);
+        reachable = cluster->all_control_operators();
         reachable.erase(reachable.begin() + static_cast<std::ptrdiff_t>(i));
         const auto latency = 1800 + static_cast<std::uint32_t>(i);
         ASSERT_EQ(set_view_target(latency).outcome, change_outcome::accepted)
-            << here->logs();
-        EXPECT_TRUE(everywhere(latency)) << here->logs();
-        here->part_control(i, false);
+            << cluster->logs();
+        EXPECT_TRUE(in_force_everywhere(latency)) << cluster->logs();
+        cluster->partition_control(i, false);
     }
-    EXPECT_TRUE(everywhere(1802));
-    EXPECT_EQ(steps_back, 0U);
+    EXPECT_TRUE(in_force_everywhere(1802));
+    EXPECT_EQ(reversions, 0U);
 }
 
 TEST_F(configuration, frozen_leader_wakes_late_and_reverts_nothing)
 {
     learn_view_revision();
     start_watch();
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        here->control(i).freeze();
-        reachable = here->all_control_operators();
+        cluster->control(i).freeze();
+        reachable = cluster->all_control_operators();
         reachable.erase(reachable.begin() + static_cast<std::ptrdiff_t>(i));
         const auto latency = 1700 + static_cast<std::uint32_t>(i);
         ASSERT_EQ(set_view_target(latency).outcome, change_outcome::accepted);
-        EXPECT_TRUE(everywhere(latency)) << here->logs();
-        here->control(i).thaw();
+        EXPECT_TRUE(in_force_everywhere(latency)) << cluster->logs();
+        cluster->control(i).thaw();
     }
-    EXPECT_TRUE(everywhere(1702));
-    EXPECT_EQ(steps_back, 0U);
+    EXPECT_TRUE(in_force_everywhere(1702));
+    EXPECT_EQ(reversions, 0U);
 }
 
 TEST_F(configuration, majority_lost_accepts_nothing_and_daemons_serve_on)
 {
     learn_view_revision();
-    here->control(0).kill();
-    here->control(1).kill();
+    cluster->control(0).kill();
+    cluster->control(1).kill();
     const auto change = target_change("minority", view_revision, "view", 9100);
     const auto lost =
-        send_change(here->control_operators(2), change, seconds(8));
+        send_change(cluster->control_operators(2), change, seconds(8));
     EXPECT_NE(lost.outcome, change_outcome::accepted);
     expect_completed(run_load(load({offered_view(50)}, 1)), 0.99);
-    ASSERT_TRUE(here->restart_control(0));
+    ASSERT_TRUE(cluster->restart_control(0));
     // Not accepted isn't refused: the operator sends it again.
-    const auto again = settle_change(here->all_control_operators(), change);
+    const auto again = settle_change(cluster->all_control_operators(), change);
     ASSERT_EQ(again.outcome, change_outcome::accepted);
-    EXPECT_TRUE(everywhere(9100)) << here->logs();
+    EXPECT_TRUE(in_force_everywhere(9100)) << cluster->logs();
 }
 
 TEST_F(configuration, daemon_that_starts_without_control_serves_nothing_old)
 {
     learn_view_revision();
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
-        here->control(i).kill();
+        cluster->control(i).kill();
     }
-    here->daemon(0).kill();
-    ASSERT_TRUE(here->restart_daemon(0));
+    cluster->daemon(0).kill();
+    ASSERT_TRUE(cluster->restart_daemon(0));
     ASSERT_TRUE(wait_until(
         [&]
         {
-            return configuration_of(here->daemon_operators(0)).has_value();
+            return configuration_of(cluster->daemon_operators(0)).has_value();
         }));
     auto options = load({offered_view(1)}, 1);
-    options.daemons = {here->daemon_callers(0)};
+    options.daemons = {cluster->daemon_callers(0)};
     options.max_tries = 1;
     const auto record = run_one(options);
-    EXPECT_EQ(record.view, caller_view::not_run);
+    EXPECT_EQ(record.outcome, caller_outcome::not_run);
     EXPECT_EQ(record.reason, "starting");
 }
 
--- a/testing/configuration_watch.cpp
+++ b/testing/configuration_watch.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds between_changes(150);
-constexpr std::chrono::milliseconds between_observations(20);
+constexpr std::chrono::milliseconds change_interval(150);
+constexpr std::chrono::milliseconds poll_interval(20);
 constexpr std::chrono::milliseconds observation_timeout(300);
 constexpr std::chrono::seconds settle_limit(60);
 constexpr std::uint32_t first_latency_ms = 1000;
@@ -27,13 +27,13 @@
         threads_.emplace_back(
             [this, i]
             {
-                operate(i);
+                run_operator(i);
             });
     }
     threads_.emplace_back(
         [this]
         {
-            observe();
+            poll_daemons();
         });
 }
 
@@ -68,35 +68,36 @@
     return observations_;
 }
 
-void configuration_watch::operate(std::uint32_t which)
+void configuration_watch::run_operator(std::uint32_t operator_index)
 {
     for (std::uint32_t round = 0; running_; ++round)
     {
         const auto latency =
-            first_latency_ms + (round * 8 + which) % latency_span;
-        const auto id =
-            "operator-" + std::to_string(which) + "-" + std::to_string(round);
+            first_latency_ms + (round * 8 + operator_index) % latency_span;
+        const auto id = "operator-" + std::to_string(operator_index) + "-" +
+                        std::to_string(round);
         const auto change = target_change(id, based_on_, class_name_, latency);
         auto hosts = target_.all_control_operators();
         std::rotate(
             hosts.begin(),
-            hosts.begin() + static_cast<std::ptrdiff_t>(which % hosts.size()),
+            hosts.begin() +
+                static_cast<std::ptrdiff_t>(operator_index % hosts.size()),
             hosts.end());
         const auto answer = settle_change(hosts, change, settle_limit);
         if (answer.outcome == change_outcome::accepted)
         {
-            note_accepted(answer.revision, latency);
+            record_accepted(answer.revision, latency);
         }
         conflicts_ += answer.outcome == change_outcome::conflict ? 1 : 0;
         if (answer.revision > 0)
         {
             based_on_ = answer.revision;
         }
-        std::this_thread::sleep_for(between_changes);
+        std::this_thread::sleep_for(change_interval);
     }
 }
 
-void configuration_watch::note_accepted(
+void configuration_watch::record_accepted(
     std::uint64_t revision, std::uint32_t latency_ms)
 {
     const std::scoped_lock lock(mutex_);
@@ -107,7 +108,7 @@
     }
 }
 
-void configuration_watch::observe()
+void configuration_watch::poll_daemons()
 {
     std::vector<std::uint64_t> highest(target_.daemon_count(), 0);
     while (running_)
@@ -131,11 +132,11 @@
             }
             highest[i] = std::max(highest[i], now->revision);
         }
-        std::this_thread::sleep_for(between_observations);
+        std::this_thread::sleep_for(poll_interval);
     }
 }
 
-std::string configuration_watch::verdict() const
+std::string configuration_watch::find_problems() const
 {
     const std::scoped_lock lock(mutex_);
     std::string text;
--- a/testing/configuration_watch.hpp
+++ b/testing/configuration_watch.hpp
@@ -40,12 +40,12 @@
     // After `stop` and when all is mended: an empty text, or what is wrong: a
     // step back of a daemon, two changes accepted at one revision, or a
     // daemon that doesn't come to run the last accepted target.
-    [[nodiscard]] std::string verdict() const;
+    [[nodiscard]] std::string find_problems() const;
 
 private:
-    void operate(std::uint32_t which);
-    void observe();
-    void note_accepted(std::uint64_t revision, std::uint32_t latency_ms);
+    void run_operator(std::uint32_t operator_index);
+    void poll_daemons();
+    void record_accepted(std::uint64_t revision, std::uint32_t latency_ms);
 
     const deployment& target_;
     std::string class_name_;
--- a/testing/demonstration.cpp
+++ b/testing/demonstration.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::uint32_t new_target_ms = 1500;
 constexpr std::uint64_t unknown_revision = 999'999;
-constexpr double least_completed = 0.9;
+constexpr double min_completed_share = 0.9;
 
 // Prints a step and remembers whether all went well.
 class report
@@ -27,23 +27,23 @@
         std::cout << "\n== " << ++number_ << ". " << title << '\n';
     }
 
-    void check(bool holds, const std::string& what)
+    void check(bool passed, const std::string& what)
     {
-        std::cout << (holds ? "ok      " : "FAILED  ") << what << '\n';
-        good_ = good_ && holds;
+        std::cout << (passed ? "ok      " : "FAILED  ") << what << '\n';
+        all_passed_ = all_passed_ && passed;
     }
 
-    [[nodiscard]] bool good() const
+    [[nodiscard]] bool all_passed() const
     {
-        return good_;
+        return all_passed_;
     }
 
 private:
     int number_ = 0;
-    bool good_ = true;
+    bool all_passed_ = true;
 };
 
-ts::deployment_options demonstrated()
+ts::deployment_options demonstration_options()
 {
     ts::deployment_options options;
     const std::string payouts =
@@ -67,7 +67,7 @@
     std::cout << "  (" << answer.body_size << " bytes of body)\n";
 }
 
-void show_payout(const ts::deployment& here, report& out)
+void show_payout(const ts::deployment& cluster, report& out)
 {
     out.step("A member's payout; its upstream asks for a balance on the way");
     ts::http_request request;
@@ -80,30 +80,30 @@
     request.body = "amount=250";
     std::cout << "POST /disbursement/pay, key demo-1, by the daemon beside a "
                  "balances upstream\n";
-    const auto answer = ts::send_request(here.daemon_callers(2), request);
+    const auto answer = ts::send_request(cluster.daemon_callers(2), request);
     out.check(answer && answer->status == 200, "the payout is answered");
     if (answer)
     {
         print_answer(*answer);
     }
-    const auto again = ts::send_request(here.daemon_callers(3), request);
+    const auto again = ts::send_request(cluster.daemon_callers(3), request);
     out.check(
         again && answer && again->body_digest == answer->body_digest,
         "the same key through another daemon gets the first answer");
     out.check(
-        here.executions_by_token("disbursement")["demo"].started == 1,
+        cluster.executions_by_token("disbursement")["demo"].started == 1,
         "the payout ran once");
     out.check(
-        here.executions_by_token("balances")["demo"].started == 1,
+        cluster.executions_by_token("balances")["demo"].started == 1,
         "its sub-call ran once");
 }
 
-void show_dump(const ts::deployment& here, report& out)
+void show_dump(const ts::deployment& cluster, report& out)
 {
     out.step("The state of a daemon (GET /v1/dump)");
     ts::http_request request;
     request.target = "/v1/dump";
-    const auto answer = ts::send_request(here.daemon_operators(0), request);
+    const auto answer = ts::send_request(cluster.daemon_operators(0), request);
     out.check(answer && answer->status == 200, "the dump is answered");
     if (answer)
     {
@@ -111,10 +111,10 @@
     }
 }
 
-void show_change(const ts::deployment& here, report& out)
+void show_change(const ts::deployment& cluster, report& out)
 {
     out.step("A change of target is in force everywhere");
-    const auto hosts = here.all_control_operators();
+    const auto hosts = cluster.all_control_operators();
     const auto present = ts::settle_change(
         hosts, ts::target_change("ask", unknown_revision, "view", 1));
     out.check(
@@ -128,14 +128,15 @@
         "view's target " + std::to_string(new_target_ms) +
             " ms is accepted as revision " + std::to_string(answer.revision));
     out.check(
-        here.wait_in_force(answer.revision), "every daemon runs that revision");
+        cluster.wait_in_force(answer.revision),
+        "every daemon runs that revision");
 }
 
-void show_kills(ts::deployment& here, report& out)
+void show_kills(ts::deployment& cluster, report& out)
 {
     out.step("One process after another is killed while requests run");
     ts::load_options load;
-    load.daemons = {here.daemon_callers(2), here.daemon_callers(3)};
+    load.daemons = {cluster.daemon_callers(2), cluster.daemon_callers(3)};
     load.classes = {ts::offered_payout(40), ts::offered_view(80)};
     load.length = std::chrono::seconds(5);
     load.retries = ts::client_retries::as_answer_allows;
@@ -151,18 +152,18 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(700));
     };
     pause();
-    here.control(0).kill();
+    cluster.control(0).kill();
     std::cout << "control host 0 killed\n";
     pause();
-    here.daemon(0).kill();
+    cluster.daemon(0).kill();
     std::cout << "a daemon of the disbursement service killed\n";
     pause();
-    out.check(here.restart_control(0), "control host 0 started again");
-    out.check(here.restart_daemon(0), "the daemon started again");
+    out.check(cluster.restart_control(0), "control host 0 started again");
+    out.check(cluster.restart_daemon(0), "the daemon started again");
     running.join();
     std::cout << ts::to_table(records, load);
-    auto counts = here.executions_by_token("disbursement");
-    for (const auto& [token, count] : here.executions_by_token("balances"))
+    auto counts = cluster.executions_by_token("disbursement");
+    for (const auto& [token, count] : cluster.executions_by_token("balances"))
     {
         // Views of their own; sub-calls bear the payout's token.
         counts.emplace(token, count);
@@ -171,10 +172,11 @@
     out.check(
         violations.empty(),
         "no payout ran twice, no \"not run\" was false, no answer was wrong");
-    const auto completed = ts::count_view(records, ts::caller_view::completed);
+    const auto completed =
+        ts::count_outcome(records, ts::caller_outcome::completed);
     out.check(
         static_cast<double>(completed) >=
-            least_completed * static_cast<double>(records.size()),
+            min_completed_share * static_cast<double>(records.size()),
         std::to_string(completed) + " of " + std::to_string(records.size()) +
             " requests completed");
 }
@@ -183,32 +185,33 @@
 {
     report out;
     out.step("Three control hosts, four daemons, four upstreams start");
-    auto started = ts::deployment::start(demonstrated());
+    auto started = ts::deployment::start(demonstration_options());
     if (!started)
     {
         std::cerr << "demonstration: " << started.error().message() << '\n';
         return 1;
     }
-    auto& here = **started;
+    auto& cluster = **started;
     out.check(
-        here.declare(ts::association_classes()),
+        cluster.declare(ts::association_classes()),
         "the classes payout, view, fund and statement are in force");
-    out.check(here.wait_served(ts::offered_view(1)), "views are served");
-    out.check(here.wait_served(ts::offered_payout(1)), "payouts are served");
-    if (out.good())
+    out.check(cluster.wait_served(ts::offered_view(1)), "views are served");
+    out.check(cluster.wait_served(ts::offered_payout(1)), "payouts are served");
+    if (out.all_passed())
     {
-        show_payout(here, out);
-        show_dump(here, out);
-        show_change(here, out);
-        show_kills(here, out);
+        show_payout(cluster, out);
+        show_dump(cluster, out);
+        show_change(cluster, out);
+        show_kills(cluster, out);
     }
-    out.check(here.crashes().empty(), "no process ended by itself");
-    if (!out.good())
+    out.check(cluster.crashes().empty(), "no process ended by itself");
+    if (!out.all_passed())
     {
-        std::cerr << here.logs();
+        std::cerr << cluster.logs();
     }
-    std::cout << (out.good() ? "\nAll steps passed.\n" : "\nA step failed.\n");
-    return out.good() ? 0 : 1;
+    std::cout
+        << (out.all_passed() ? "\nAll steps passed.\n" : "\nA step failed.\n");
+    return out.all_passed() ? 0 : 1;
 }
 
 } // namespace
--- a/testing/deployment.cpp
+++ b/testing/deployment.cpp
@@ -19,12 +19,12 @@
 // The end of a log; the beginning of a long one rarely matters.
 std::string tail(const std::string& text)
 {
-    constexpr std::size_t most_shown = 3000;
-    return text.size() <= most_shown ? text
-                                     : text.substr(text.size() - most_shown);
+    constexpr std::size_t max_shown = 3000;
+    return text.size() <= max_shown ? text
+                                    : text.substr(text.size() - max_shown);
 }
 
-relay_behavior both_silent()
+relay_behavior silent_behavior()
 {
     relay_behavior behavior;
     behavior.to_target = relay_direction::silent;
@@ -45,7 +45,7 @@
     using process_list = std::vector<std::unique_ptr<child_process>>;
 
     error_code start_relays();
-    void note_crash(
+    void record_crash(
         const std::unique_ptr<child_process>& process,
         const std::string& kind,
         std::size_t index);
@@ -76,7 +76,7 @@
     std::unique_ptr<child_process>& into) const
 {
     auto started = child_process::start(
-        built_program(program), arguments, folder.path(name + ".log"));
+        program_path(program), arguments, folder.path(name + ".log"));
     if (!started)
     {
         return started.error();
@@ -85,7 +85,7 @@
     return {};
 }
 
-void deployment::state::note_crash(
+void deployment::state::record_crash(
     const std::unique_ptr<child_process>& process,
     const std::string& kind,
     std::size_t index)
@@ -108,9 +108,10 @@
         }
         to_upstreams.push_back(std::move(*started));
     }
-    for (const auto& place : plan.control_relays())
+    for (const auto& relay_addresses : plan.control_relays())
     {
-        auto started = relay::start(place.listen, place.target);
+        auto started =
+            relay::start(relay_addresses.listen, relay_addresses.target);
         if (!started)
         {
             return started.error();
@@ -140,19 +141,19 @@
 
 error_code deployment::state::start_upstream(std::size_t index)
 {
-    const auto& what = plan.options().upstreams[index];
-    if (what.service.empty())
+    const auto& deployed = plan.options().upstreams[index];
+    if (deployed.service.empty())
     {
         return {};
     }
     const std::string name = "u" + std::to_string(index);
     const std::vector<std::string> arguments{
-        "--service=" + what.service,
+        "--service=" + deployed.service,
         "--address=" + plan.upstream_address(index),
         "--announce-as=" + plan.announced_address(index),
         "--daemon=" + plan.daemon_upstream(index),
         "--journal=" + folder.path(name + ".journal"),
-        "--behavior=" + what.behavior};
+        "--behavior=" + deployed.behavior};
     return start_program(
         "stand_in_upstream", arguments, name, upstreams[index]);
 }
@@ -224,38 +225,38 @@
 {
     for (std::size_t i = 0; i < control_count(); ++i)
     {
-        state_->note_crash(state_->controls[i], "control ", i);
+        state_->record_crash(state_->controls[i], "control ", i);
     }
     for (std::size_t i = 0; i < daemon_count(); ++i)
     {
-        state_->note_crash(state_->daemons[i], "daemon ", i);
-        state_->note_crash(state_->upstreams[i], "upstream ", i);
+        state_->record_crash(state_->daemons[i], "daemon ", i);
+        state_->record_crash(state_->upstreams[i], "upstream ", i);
     }
     return std::exchange(state_->crashes, {});
 }
 
 bool deployment::restart_control(std::size_t index)
 {
-    state_->note_crash(state_->controls[index], "control ", index);
+    state_->record_crash(state_->controls[index], "control ", index);
     state_->controls[index].reset();
     return !state_->start_control(index);
 }
 
 bool deployment::restart_daemon(std::size_t index)
 {
-    state_->note_crash(state_->daemons[index], "daemon ", index);
+    state_->record_crash(state_->daemons[index], "daemon ", index);
     state_->daemons[index].reset();
     return !state_->start_daemon(index);
 }
 
 bool deployment::restart_upstream(std::size_t index)
 {
-    state_->note_crash(state_->upstreams[index], "upstream ", index);
+    state_->record_crash(state_->upstreams[index], "upstream ", index);
     state_->upstreams[index].reset();
     return !state_->start_upstream(index);
 }
 
-void deployment::empty_control_folder(std::size_t index)
+void deployment::remove_control_data(std::size_t index)
 {
     std::error_code ignored;
     std::filesystem::remove_all(
@@ -309,45 +310,45 @@
 
 void deployment::isolate_control(std::size_t index, bool isolated)
 {
-    const auto behavior = isolated ? both_silent() : relay_behavior();
+    const auto behavior = isolated ? silent_behavior() : relay_behavior();
     const auto process = control(index).id();
     for (std::size_t i = 0; i < state_->to_controls.size(); ++i)
     {
-        auto& before = *state_->to_controls[i];
+        auto& control_relay = *state_->to_controls[i];
         if (i == index)
         {
-            before.set(behavior);
+            control_relay.set(behavior);
         }
         else if (isolated)
         {
-            before.set_from(process, behavior);
+            control_relay.set_for_process(process, behavior);
         }
         else
         {
-            before.forget(process);
+            control_relay.clear_process(process);
         }
     }
 }
 
-void deployment::part_control(std::size_t index, bool parted)
+void deployment::partition_control(std::size_t index, bool partitioned)
 {
-    const auto hold = [parted](relay& before, pid_t process)
+    const auto set_or_clear = [partitioned](relay& control_relay, pid_t process)
     {
-        if (parted)
+        if (partitioned)
         {
-            before.set_from(process, both_silent());
+            control_relay.set_for_process(process, silent_behavior());
         }
         else
         {
-            before.forget(process);
+            control_relay.clear_process(process);
         }
     };
     for (std::size_t i = 0; i < state_->to_controls.size(); ++i)
     {
         if (i != index)
         {
-            hold(*state_->to_controls[i], control(index).id());
-            hold(*state_->to_controls[index], control(i).id());
+            set_or_clear(*state_->to_controls[i], control(index).id());
+            set_or_clear(*state_->to_controls[index], control(i).id());
         }
     }
 }
@@ -368,8 +369,8 @@
     return wait_in_force(last);
 }
 
-bool deployment::each_daemon(
-    const std::function<bool(std::size_t)>& holds,
+bool deployment::wait_for_each_daemon(
+    const std::function<bool(std::size_t)>& condition,
     std::chrono::milliseconds limit) const
 {
     for (std::size_t i = 0; i < daemon_count(); ++i)
@@ -377,7 +378,7 @@
         auto& process = *state_->daemons[i];
         const auto settled = [&]
         {
-            return !process.running() || holds(i);
+            return !process.running() || condition(i);
         };
         if (!wait_until(settled, limit) || process.crashed())
         {
@@ -395,7 +396,7 @@
         const auto now = configuration_of(daemon_operators(index));
         return now && now->revision >= revision;
     };
-    return each_daemon(runs, limit);
+    return wait_for_each_daemon(runs, limit);
 }
 
 bool deployment::wait_served(const offered_class& offered) const
@@ -408,9 +409,9 @@
         options.daemons = {daemon_callers(index)};
         options.prefix =
             "ready-" + std::to_string(index) + "-" + std::to_string(++round);
-        return run_one(options).view == caller_view::completed;
+        return run_one(options).outcome == caller_outcome::completed;
     };
-    return each_daemon(served, std::chrono::seconds(30));
+    return wait_for_each_daemon(served, std::chrono::seconds(30));
 }
 
 void deployment::control_upstream(
--- a/testing/deployment.hpp
+++ b/testing/deployment.hpp
@@ -82,7 +82,7 @@
     bool restart_upstream(std::size_t index);
 
     // Removes the data folder. Requires: the process has ended.
-    void empty_control_folder(std::size_t index);
+    void remove_control_data(std::size_t index);
 
     [[nodiscard]] std::string control_operators(std::size_t index) const;
     [[nodiscard]] std::vector<std::string> all_control_operators() const;
@@ -100,7 +100,7 @@
 
     // Cuts a control host off silently from the other control hosts only;
     // daemons still reach all. Requires: `relay_to_control`.
-    void part_control(std::size_t index, bool parted);
+    void partition_control(std::size_t index, bool partitioned);
 
     // Declares the classes and waits until every daemon runs them and knows
     // its own upstream. False where it doesn't happen.
@@ -137,8 +137,8 @@
 
     // False where a daemon crashed or didn't come to hold it within `limit`;
     // one that was ended is left out.
-    [[nodiscard]] bool each_daemon(
-        const std::function<bool(std::size_t)>& holds,
+    [[nodiscard]] bool wait_for_each_daemon(
+        const std::function<bool(std::size_t)>& condition,
         std::chrono::milliseconds limit) const;
 
     std::unique_ptr<state> state_;
--- a/testing/deployment_plan.cpp
+++ b/testing/deployment_plan.cpp
@@ -105,17 +105,17 @@
                : control_peers(index);
 }
 
-std::vector<control_relay_place> deployment_plan::control_relays() const
+std::vector<control_relay_addresses> deployment_plan::control_relays() const
 {
-    std::vector<control_relay_place> places;
+    std::vector<control_relay_addresses> relays;
     if (options_.relay_to_control)
     {
         for (std::size_t i = 0; i < options_.control_hosts; ++i)
         {
-            places.push_back({control_address(i), control_peers(i)});
+            relays.push_back({control_address(i), control_peers(i)});
         }
     }
-    return places;
+    return relays;
 }
 
 std::string deployment_plan::control_addresses() const
@@ -152,10 +152,10 @@
 
 std::string deployment_plan::daemon_settings(std::size_t index) const
 {
-    const auto& what = options_.upstreams[index];
+    const auto& deployed = options_.upstreams[index];
     const auto peers = block_.address(daemon_ip(index), peers_port);
     std::string text =
-        host_section(daemon_name(index), what.data_center) +
+        host_section(daemon_name(index), deployed.data_center) +
         "threads = " + std::to_string(options_.threads) + "\n" +
         "\n[listen]\ncallers = " + daemon_callers(index) +
         "\nupstream = " + daemon_upstream(index) + "\npeers = " + peers +
--- a/testing/deployment_plan.hpp
+++ b/testing/deployment_plan.hpp
@@ -12,7 +12,7 @@
 {
 
 // Where the relay before a control host stands.
-struct control_relay_place
+struct control_relay_addresses
 {
     std::string listen;
     std::string target;
@@ -40,7 +40,7 @@
     [[nodiscard]] std::string announced_address(std::size_t index) const;
 
     [[nodiscard]] std::size_t relayed_upstreams() const;
-    [[nodiscard]] std::vector<control_relay_place> control_relays() const;
+    [[nodiscard]] std::vector<control_relay_addresses> control_relays() const;
 
     [[nodiscard]] std::string
     control_settings(std::size_t index, const std::string& data_folder) const;
--- a/testing/execution_log.cpp
+++ b/testing/execution_log.cpp
@@ -20,14 +20,14 @@
 constexpr char finish_mark = 'F';
 constexpr mode_t journal_mode = 0644;
 
-void add(execution_counts& counts, const std::string& name, char what)
+void add(execution_counts& counts, const std::string& name, char mark)
 {
     if (name.empty())
     {
         return;
     }
     auto& entry = counts[name];
-    ++(what == start_mark ? entry.started : entry.finished);
+    ++(mark == start_mark ? entry.started : entry.finished);
 }
 
 json::object to_object(const execution_count& count)
@@ -47,8 +47,8 @@
 
 struct journal_line
 {
-    char what = 0;
-    execution_identity who;
+    char mark = 0;
+    execution_identity identity;
 };
 
 // Lines are "mark\tkey\ttoken\trequest"; one without its end is left out.
@@ -97,7 +97,7 @@
         journal,
         [&log](const journal_line& line)
         {
-            log->count(line.what, line.who);
+            log->count(line.mark, line.identity);
         });
     return log;
 }
@@ -115,36 +115,37 @@
     }
 }
 
-void execution_log::started(const execution_identity& who)
+void execution_log::started(const execution_identity& identity)
 {
     const std::scoped_lock lock(mutex_);
-    write_line(start_mark, who);
-    count(start_mark, who);
+    write_line(start_mark, identity);
+    count(start_mark, identity);
 }
 
-void execution_log::finished(const execution_identity& who)
+void execution_log::finished(const execution_identity& identity)
 {
     const std::scoped_lock lock(mutex_);
-    write_line(finish_mark, who);
-    count(finish_mark, who);
+    write_line(finish_mark, identity);
+    count(finish_mark, identity);
 }
 
-void execution_log::count(char what, const execution_identity& who)
+void execution_log::count(char mark, const execution_identity& identity)
 {
-    ++(what == start_mark ? total_.started : total_.finished);
-    add(by_key_, who.key, what);
-    add(by_token_, who.token, what);
-    add(by_request_, who.request, what);
+    ++(mark == start_mark ? total_.started : total_.finished);
+    add(by_key_, identity.key, mark);
+    add(by_token_, identity.token, mark);
+    add(by_request_, identity.request, mark);
 }
 
-void execution_log::write_line(char what, const execution_identity& who) const
+void execution_log::write_line(
+    char mark, const execution_identity& identity) const
 {
     if (journal_ < 0)
     {
         return;
     }
-    const std::string line = std::string(1, what) + '\t' + who.key + '\t' +
-                             who.token + '\t' + who.request + '\n';
+    const std::string line = std::string(1, mark) + '\t' + identity.key + '\t' +
+                             identity.token + '\t' + identity.request + '\n';
     [[maybe_unused]] const auto written =
         ::write(journal_, line.data(), line.size());
 }
@@ -191,7 +192,7 @@
         journal,
         [&counts](const journal_line& line)
         {
-            add(counts, line.who.key, line.what);
+            add(counts, line.identity.key, line.mark);
         });
     return counts;
 }
@@ -203,7 +204,7 @@
         journal,
         [&counts](const journal_line& line)
         {
-            add(counts, line.who.token, line.what);
+            add(counts, line.identity.token, line.mark);
         });
     return counts;
 }
--- a/testing/execution_log.hpp
+++ b/testing/execution_log.hpp
@@ -50,8 +50,8 @@
     execution_log(const execution_log&) = delete;
     execution_log& operator=(const execution_log&) = delete;
 
-    void started(const execution_identity& who);
-    void finished(const execution_identity& who);
+    void started(const execution_identity& identity);
+    void finished(const execution_identity& identity);
 
     [[nodiscard]] execution_counts by_key() const;
     [[nodiscard]] execution_counts by_token() const;
@@ -64,8 +64,8 @@
 private:
     explicit execution_log(int journal);
 
-    void count(char what, const execution_identity& who);
-    void write_line(char what, const execution_identity& who) const;
+    void count(char mark, const execution_identity& identity);
+    void write_line(char mark, const execution_identity& identity) const;
 
     int journal_;
     mutable std::mutex mutex_;
--- a/testing/fault_injector.cpp
+++ b/testing/fault_injector.cpp
@@ -9,14 +9,14 @@
 namespace
 {
 
-constexpr std::size_t most_open = 2;
-constexpr std::uint32_t most_steps = 6;
+constexpr std::size_t max_active_faults = 2;
+constexpr std::uint32_t max_fault_steps = 6;
 
-constexpr std::string_view healthy =
+constexpr std::string_view healthy_behavior =
     R"({"slow_factor": 1, "cut_share": 0, "error_share": 0, "late_ms": 0,
         "shed_above": 0, "state": "serving"})";
 
-constexpr std::array<std::string_view, 6> misbehaviors{
+constexpr std::array<std::string_view, 6> faulty_behaviors{
     R"({"slow_factor": 20})",
     R"({"cut_share": 0.5})",
     R"({"error_share": 0.5})",
@@ -24,13 +24,13 @@
     R"({"shed_above": 2})",
     R"({"shed_above": 2, "shed_says_not_run": false})"};
 
-constexpr std::string_view names_of_parts[] = {
+constexpr std::string_view component_names[] = {
     "control host",
     "daemon",
     "upstream",
     "upstream connections",
     "control network"};
-constexpr std::string_view names_of_harms[] = {
+constexpr std::string_view fault_kind_names[] = {
     "killed",
     "frozen",
     "silenced",
@@ -49,73 +49,73 @@
 
 void fault_injector::step()
 {
-    for (auto& broken : open_)
+    for (auto& active : active_)
     {
-        --broken.steps_left;
+        --active.steps_left;
     }
-    const auto is_over = [](const fault& broken)
+    const auto is_over = [](const fault& active)
     {
-        return broken.steps_left == 0;
+        return active.steps_left == 0;
     };
-    for (const auto& broken : open_)
+    for (const auto& active : active_)
     {
-        if (is_over(broken))
+        if (is_over(active))
         {
-            mend(broken);
+            repair(active);
         }
     }
-    std::erase_if(open_, is_over);
+    std::erase_if(active_, is_over);
     const auto wanted = choose();
     if (allowed(wanted))
     {
         apply(wanted);
-        open_.push_back(wanted);
+        active_.push_back(wanted);
         std::string name(
-            names_of_parts[static_cast<std::size_t>(wanted.where)]);
+            component_names[static_cast<std::size_t>(wanted.component)]);
         name += " ";
-        name += names_of_harms[static_cast<std::size_t>(wanted.how)];
+        name += fault_kind_names[static_cast<std::size_t>(wanted.kind)];
         ++injected_[name];
     }
 }
 
-void fault_injector::heal()
+void fault_injector::repair_all()
 {
-    for (const auto& broken : open_)
+    for (const auto& active : active_)
     {
-        mend(broken);
+        repair(active);
     }
-    open_.clear();
+    active_.clear();
 }
 
 fault_injector::fault fault_injector::choose()
 {
     fault wanted;
-    wanted.where = static_cast<part>(uniform_below(random_, 5));
+    wanted.component = static_cast<component_kind>(uniform_below(random_, 5));
     wanted.steps_left =
-        1 + static_cast<std::uint32_t>(uniform_below(random_, most_steps));
-    const bool control =
-        wanted.where == part::control || wanted.where == part::control_network;
+        1 + static_cast<std::uint32_t>(uniform_below(random_, max_fault_steps));
+    const bool control = wanted.component == component_kind::control ||
+                         wanted.component == component_kind::control_network;
     wanted.index = uniform_below(
         random_, control ? target_.control_count() : target_.daemon_count());
     const bool first = uniform_below(random_, 2) == 0;
-    switch (wanted.where)
+    switch (wanted.component)
     {
-    case part::control:
-    case part::daemon:
-        wanted.how = first ? harm::killed : harm::frozen;
+    case component_kind::control:
+    case component_kind::daemon:
+        wanted.kind = first ? fault_kind::killed : fault_kind::frozen;
         break;
-    case part::upstream:
-        wanted.how = static_cast<harm>(std::array{
-            harm::killed,
-            harm::frozen,
-            harm::misbehaving,
-            harm::leaving}[uniform_below(random_, 4)]);
+    case component_kind::upstream:
+        wanted.kind = static_cast<fault_kind>(std::array{
+            fault_kind::killed,
+            fault_kind::frozen,
+            fault_kind::misbehaving,
+            fault_kind::leaving}[uniform_below(random_, 4)]);
         break;
-    case part::upstream_connections:
-        wanted.how = first ? harm::silenced : harm::cut;
+    case component_kind::upstream_connections:
+        wanted.kind = first ? fault_kind::silenced : fault_kind::cut;
         break;
-    case part::control_network:
-        wanted.how = harm::isolated;
+    case component_kind::control_network:
+        wanted.kind = fault_kind::isolated;
         break;
     }
     return wanted;
@@ -123,46 +123,46 @@
 
 bool fault_injector::allowed(const fault& wanted) const
 {
-    const auto of_control = [](const fault& each)
+    const auto affects_control = [](const fault& each)
     {
-        return each.where == part::control ||
-               each.where == part::control_network;
+        return each.component == component_kind::control ||
+               each.component == component_kind::control_network;
     };
-    const auto clashes = [&](const fault& each)
+    const auto conflicts_with = [&](const fault& each)
     {
-        return of_control(each) == of_control(wanted) &&
-               (of_control(each) || each.index == wanted.index);
+        return affects_control(each) == affects_control(wanted) &&
+               (affects_control(each) || each.index == wanted.index);
     };
-    return open_.size() < most_open &&
-           std::none_of(open_.begin(), open_.end(), clashes);
+    return active_.size() < max_active_faults &&
+           std::none_of(active_.begin(), active_.end(), conflicts_with);
 }
 
 void fault_injector::apply(const fault& wanted)
 {
-    switch (wanted.where)
+    switch (wanted.component)
     {
-    case part::control:
-        break_process(target_.control(wanted.index), wanted.how);
+    case component_kind::control:
+        break_process(target_.control(wanted.index), wanted.kind);
         break;
-    case part::daemon:
-        break_process(target_.daemon(wanted.index), wanted.how);
+    case component_kind::daemon:
+        break_process(target_.daemon(wanted.index), wanted.kind);
         break;
-    case part::upstream:
-        if (wanted.how == harm::misbehaving)
+    case component_kind::upstream:
+        if (wanted.kind == fault_kind::misbehaving)
         {
             misbehave(wanted.index);
         }
-        else if (wanted.how == harm::leaving)
+        else if (wanted.kind == fault_kind::leaving)
         {
             target_.control_upstream(wanted.index, R"({"state": "leaving"})");
         }
         else
         {
-            break_process(target_.upstream(wanted.index), wanted.how);
+            break_process(target_.upstream(wanted.index), wanted.kind);
         }
         break;
-    case part::upstream_connections:
-        if (wanted.how == harm::cut)
+    case component_kind::upstream_connections:
+        if (wanted.kind == fault_kind::cut)
         {
             target_.upstream_relay(wanted.index).cut();
         }
@@ -175,15 +175,15 @@
             target_.upstream_relay(wanted.index).set(silent);
         }
         break;
-    case part::control_network:
+    case component_kind::control_network:
         target_.isolate_control(wanted.index, true);
         break;
     }
 }
 
-void fault_injector::break_process(child_process& process, harm how)
+void fault_injector::break_process(child_process& process, fault_kind kind)
 {
-    if (how == harm::killed)
+    if (kind == fault_kind::killed)
     {
         process.kill();
     }
@@ -195,42 +195,43 @@
 
 void fault_injector::misbehave(std::size_t index)
 {
-    const auto choice = uniform_below(random_, misbehaviors.size());
-    target_.control_upstream(index, std::string(misbehaviors[choice]));
+    const auto choice = uniform_below(random_, faulty_behaviors.size());
+    target_.control_upstream(index, std::string(faulty_behaviors[choice]));
 }
 
-void fault_injector::mend(const fault& broken)
+void fault_injector::repair(const fault& active)
 {
-    const bool killed = broken.how == harm::killed;
-    switch (broken.where)
+    const bool killed = active.kind == fault_kind::killed;
+    switch (active.component)
     {
-    case part::control:
-        killed ? void(target_.restart_control(broken.index))
-               : target_.control(broken.index).thaw();
+    case component_kind::control:
+        killed ? void(target_.restart_control(active.index))
+               : target_.control(active.index).thaw();
         break;
-    case part::daemon:
-        killed ? void(target_.restart_daemon(broken.index))
-               : target_.daemon(broken.index).thaw();
+    case component_kind::daemon:
+        killed ? void(target_.restart_daemon(active.index))
+               : target_.daemon(active.index).thaw();
         break;
-    case part::upstream:
+    case component_kind::upstream:
         if (killed)
         {
-            target_.restart_upstream(broken.index);
+            target_.restart_upstream(active.index);
         }
-        else if (broken.how == harm::frozen)
+        else if (active.kind == fault_kind::frozen)
         {
-            target_.upstream(broken.index).thaw();
+            target_.upstream(active.index).thaw();
         }
         else
         {
-            target_.control_upstream(broken.index, std::string(healthy));
+            target_.control_upstream(
+                active.index, std::string(healthy_behavior));
         }
         break;
-    case part::upstream_connections:
-        target_.upstream_relay(broken.index).set({});
+    case component_kind::upstream_connections:
+        target_.upstream_relay(active.index).set({});
         break;
-    case part::control_network:
-        target_.isolate_control(broken.index, false);
+    case component_kind::control_network:
+        target_.isolate_control(active.index, false);
         break;
     }
 }
--- a/testing/fault_injector.hpp
+++ b/testing/fault_injector.hpp
@@ -24,7 +24,7 @@
     void step();
 
     // Mends all that is broken.
-    void heal();
+    void repair_all();
 
     // How many failures of each kind were brought about.
     [[nodiscard]] const std::map<std::string, std::uint64_t>& injected() const
@@ -33,7 +33,7 @@
     }
 
 private:
-    enum class part : std::uint8_t
+    enum class component_kind : std::uint8_t
     {
         control,
         daemon,
@@ -41,7 +41,7 @@
         upstream_connections,
         control_network
     };
-    enum class harm : std::uint8_t
+    enum class fault_kind : std::uint8_t
     {
         killed,
         frozen,
@@ -53,8 +53,8 @@
     };
     struct fault
     {
-        part where = part::daemon;
-        harm how = harm::killed;
+        component_kind component = component_kind::daemon;
+        fault_kind kind = fault_kind::killed;
         std::size_t index = 0;
         std::uint32_t steps_left = 0;
     };
@@ -62,13 +62,13 @@
     [[nodiscard]] fault choose();
     [[nodiscard]] bool allowed(const fault& wanted) const;
     void apply(const fault& wanted);
-    void mend(const fault& broken);
-    void break_process(child_process& process, harm how);
+    void repair(const fault& active);
+    void break_process(child_process& process, fault_kind kind);
     void misbehave(std::size_t index);
 
     deployment& target_;
     random_engine random_;
-    std::vector<fault> open_;
+    std::vector<fault> active_;
     std::map<std::string, std::uint64_t> injected_;
 };
 
--- a/testing/http_client.cpp
+++ b/testing/http_client.cpp
@@ -47,9 +47,9 @@
     return message;
 }
 
-http_failure to_failure(const error_code& error, http_failure otherwise)
+http_failure to_failure(const error_code& error, http_failure fallback)
 {
-    return error == beast::error::timeout ? http_failure::timed_out : otherwise;
+    return error == beast::error::timeout ? http_failure::timed_out : fallback;
 }
 
 template <class Fields>
@@ -100,15 +100,15 @@
     {
     }
 
-    // Reads one answer; sets `keep` where the connection can be used again.
-    asio::awaitable<http_result> read_answer(bool& keep);
+    // Reads one answer; sets `reusable` where the connection can be used again.
+    asio::awaitable<http_result> read_answer(bool& reusable);
 
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
 };
 
 asio::awaitable<http_result>
-async_http_client::connection::read_answer(bool& keep)
+async_http_client::connection::read_answer(bool& reusable)
 {
     http::response_parser<http::buffer_body> parser;
     parser.body_limit(boost::none);
@@ -135,13 +135,14 @@
             co_return to_failure(error, http_failure::body_cut);
         }
         const std::size_t size = chunk.size() - body.size;
-        const std::size_t room = kept_body_limit - answer.body.size();
-        answer.body.append(chunk.data(), std::min(size, room));
+        const std::size_t remaining =
+            max_stored_body_bytes - answer.body.size();
+        answer.body.append(chunk.data(), std::min(size, remaining));
         answer.body_size += size;
         digest.append({chunk.data(), size});
     }
     answer.body_digest = digest.value();
-    keep = parser.keep_alive();
+    reusable = parser.keep_alive();
     co_return answer;
 }
 
@@ -193,9 +194,9 @@
         co_return http_failure::timed_out;
     }
     // A refusal may come before the whole request was read: read it anyway.
-    bool keep = false;
-    auto result = co_await used->read_answer(keep);
-    if (result.has_value() && keep && !write_failed)
+    bool reusable = false;
+    auto result = co_await used->read_answer(reusable);
+    if (result.has_value() && reusable && !write_failed)
     {
         used->stream.expires_never();
         idle_[to].push_back(std::move(used));
--- a/testing/http_client.hpp
+++ b/testing/http_client.hpp
@@ -42,7 +42,7 @@
 {
     unsigned status = 0;
     std::vector<http_header> headers;
-    // The first `kept_body_limit` bytes.
+    // The first `max_stored_body_bytes` bytes.
     std::string body;
     std::uint64_t body_size = 0;
     std::uint64_t body_digest = 0;
@@ -51,7 +51,7 @@
     [[nodiscard]] std::string_view header(std::string_view name) const;
 };
 
-inline constexpr std::size_t kept_body_limit = 1024 * 1024;
+inline constexpr std::size_t max_stored_body_bytes = 1024 * 1024;
 inline constexpr std::chrono::milliseconds default_http_timeout{10'000};
 
 using http_result = outcome<http_answer, http_failure>;
--- a/testing/hunt.cpp
+++ b/testing/hunt.cpp
@@ -19,13 +19,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int violated = 1;
-constexpr int could_not_run = 2;
-constexpr milliseconds between_steps(400);
+constexpr int exit_violation = 1;
+constexpr int exit_setup_failed = 2;
+constexpr milliseconds step_interval(400);
 constexpr seconds round_length(10);
 constexpr std::uint32_t operators = 3;
 
-struct hunt_totals
+struct run_totals
 {
     std::uint64_t requests = 0;
     std::uint64_t completed = 0;
@@ -52,13 +52,13 @@
 
 // One round of load while the injector breaks things.
 std::vector<ts::load_record> run_round(
-    const ts::deployment& here,
+    const ts::deployment& cluster,
     ts::fault_injector& faults,
     std::uint64_t seed,
     std::uint64_t round)
 {
     ts::load_options options;
-    options.daemons = here.all_daemon_callers();
+    options.daemons = cluster.all_daemon_callers();
     options.classes = {
         ts::offered_payout(60), ts::offered_view(60), ts::offered_statement(5)};
     options.length = round_length;
@@ -78,27 +78,28 @@
     while (loading)
     {
         faults.step();
-        std::this_thread::sleep_for(between_steps);
+        std::this_thread::sleep_for(step_interval);
     }
     load.join();
     return records;
 }
 
-void judge(
-    const ts::deployment& here,
+void check_round(
+    const ts::deployment& cluster,
     const std::vector<ts::load_record>& records,
-    hunt_totals& totals)
+    run_totals& totals)
 {
     ts::execution_counts counts;
     for (const auto* service : {"disbursement", "balances", "statements"})
     {
-        ts::add_counts(counts, here.executions_by_token(service));
+        ts::add_counts(counts, cluster.executions_by_token(service));
     }
     const auto violations = ts::check_executions(records, counts);
     totals.requests += records.size();
-    totals.completed += ts::count_view(records, ts::caller_view::completed);
-    totals.not_run += ts::count_view(records, ts::caller_view::not_run);
-    totals.unknown += ts::count_view(records, ts::caller_view::unknown);
+    totals.completed +=
+        ts::count_outcome(records, ts::caller_outcome::completed);
+    totals.not_run += ts::count_outcome(records, ts::caller_outcome::not_run);
+    totals.unknown += ts::count_outcome(records, ts::caller_outcome::unknown);
     totals.violations += violations.size();
     if (!violations.empty())
     {
@@ -107,7 +108,7 @@
 }
 
 void report(
-    const hunt_totals& totals,
+    const run_totals& totals,
     const ts::fault_injector& faults,
     const ts::configuration_watch& watch)
 {
@@ -134,29 +135,29 @@
         !(*started)->wait_served(ts::offered_payout(1)))
     {
         std::cerr << "hunt: the deployment doesn't serve\n";
-        return could_not_run;
+        return exit_setup_failed;
     }
-    auto& here = **started;
-    ts::fault_injector faults(here, seed);
-    ts::configuration_watch watch(here, "fund", operators);
-    hunt_totals totals;
+    auto& cluster = **started;
+    ts::fault_injector faults(cluster, seed);
+    ts::configuration_watch watch(cluster, "fund", operators);
+    run_totals totals;
     const auto end = std::chrono::steady_clock::now() + length;
     for (std::uint64_t round = 0; std::chrono::steady_clock::now() < end;
          ++round)
     {
-        judge(here, run_round(here, faults, seed, round), totals);
+        check_round(cluster, run_round(cluster, faults, seed, round), totals);
     }
-    faults.heal();
+    faults.repair_all();
     watch.stop();
-    const auto problems = watch.verdict();
+    const auto problems = watch.find_problems();
     report(totals, faults, watch);
     std::cout << problems;
-    const bool served = here.wait_served(ts::offered_payout(1));
+    const bool served = cluster.wait_served(ts::offered_payout(1));
     if (!served)
     {
         std::cout << "payouts aren't served after all was mended\n";
     }
-    const auto crashes = here.crashes();
+    const auto crashes = cluster.crashes();
     for (const auto& name : crashes)
     {
         std::cout << name << " crashed\n";
@@ -165,9 +166,9 @@
         problems.empty() && crashes.empty() && totals.violations == 0 && served;
     if (!clean)
     {
-        std::cerr << here.logs();
+        std::cerr << cluster.logs();
     }
-    return clean ? 0 : violated;
+    return clean ? 0 : exit_violation;
 }
 
 } // namespace
@@ -177,7 +178,7 @@
     if (argc != 3)
     {
         std::cerr << "usage: hunt SECONDS SEED\n";
-        return could_not_run;
+        return exit_setup_failed;
     }
     try
     {
@@ -186,6 +187,6 @@
     catch (const std::exception& problem)
     {
         std::cerr << "hunt: " << problem.what() << '\n';
-        return could_not_run;
+        return exit_setup_failed;
     }
 }
--- a/testing/leaving_test.cpp
+++ b/testing/leaving_test.cpp
@@ -40,7 +40,7 @@
         std::uint32_t started = 0;
         const auto journal = "u" + std::to_string(index) + ".journal";
         for (const auto& [token, count] :
-             read_journal_by_token(here->path(journal)))
+             read_journal_by_token(cluster->path(journal)))
         {
             started += count.started;
         }
@@ -55,7 +55,7 @@
         options.daemons.clear();
         for (const auto index : daemons)
         {
-            options.daemons.push_back(here->daemon_callers(index));
+            options.daemons.push_back(cluster->daemon_callers(index));
         }
         return options;
     }
@@ -63,8 +63,9 @@
     void expect_all_completed(const std::vector<load_record>& records) const
     {
         load_options for_table;
-        EXPECT_EQ(count_view(records, caller_view::completed), records.size())
-            << to_table(records, for_table) << here->logs();
+        EXPECT_EQ(
+            count_outcome(records, caller_outcome::completed), records.size())
+            << to_table(records, for_table) << cluster->logs();
     }
 };
 
@@ -72,7 +73,7 @@
 {
     auto running = run_beside(load_through({0, 1, 2, 3}, 8));
     EXPECT_TRUE(wait_started("balances", 20));
-    here->control_upstream(2, R"({"state": "leaving"})");
+    cluster->control_upstream(2, R"({"state": "leaving"})");
     std::this_thread::sleep_for(leaving_bound);
     const auto then = started_at(2);
     EXPECT_TRUE(wait_started("balances", 100));
@@ -84,7 +85,7 @@
 {
     auto running = run_beside(load_through({0, 1, 2, 3}, 4));
     EXPECT_TRUE(wait_started("balances", 20));
-    here->upstream(2).kill();
+    cluster->upstream(2).kill();
     const auto records = running.get();
     expect_no_violation(records);
     expect_completed(records, 0.95);
@@ -94,10 +95,10 @@
 {
     auto running = run_beside(load_through({0, 2}, 4));
     EXPECT_TRUE(wait_started("balances", 20));
-    here->daemon(3).signal(SIGTERM);
-    here->daemon(1).signal(SIGTERM);
-    const auto views = here->daemon(3).wait_exit(stop_bound);
-    const auto payouts = here->daemon(1).wait_exit(stop_bound);
+    cluster->daemon(3).signal(SIGTERM);
+    cluster->daemon(1).signal(SIGTERM);
+    const auto views = cluster->daemon(3).wait_exit(stop_bound);
+    const auto payouts = cluster->daemon(1).wait_exit(stop_bound);
     ASSERT_TRUE(views);
     ASSERT_TRUE(payouts);
     EXPECT_EQ(views->code, 0);
@@ -110,19 +111,19 @@
 TEST_F(leaving, callers_of_a_stopped_daemon_get_their_answers)
 {
     // Longer than any fixed pause of a shutdown could cover.
-    here->control_upstream(2, R"({"service_ms": 4000})");
-    here->control_upstream(3, R"({"service_ms": 4000})");
+    cluster->control_upstream(2, R"({"service_ms": 4000})");
+    cluster->control_upstream(3, R"({"service_ms": 4000})");
     auto patient = offered_view(50);
     patient.timeout = seconds(20);
     auto options = load({patient}, 0.2);
-    options.daemons = {here->daemon_callers(1)};
+    options.daemons = {cluster->daemon_callers(1)};
     options.max_tries = 1;
     auto running = run_beside(options);
     running.end_after_length();
     std::this_thread::sleep_for(milliseconds(300));
-    here->daemon(1).signal(SIGTERM);
+    cluster->daemon(1).signal(SIGTERM);
     expect_all_completed(running.get());
-    ASSERT_TRUE(here->daemon(1).wait_exit(stop_bound));
+    ASSERT_TRUE(cluster->daemon(1).wait_exit(stop_bound));
 }
 
 TEST_F(leaving, drain_by_an_operator_is_a_graceful_shutdown)
@@ -132,10 +133,10 @@
     http_request drain;
     drain.method = "POST";
     drain.target = "/v1/drain";
-    const auto answer = send_request(here->daemon_operators(3), drain);
+    const auto answer = send_request(cluster->daemon_operators(3), drain);
     ASSERT_TRUE(answer);
     EXPECT_LT(answer->status, 300U);
-    const auto ended = here->daemon(3).wait_exit(stop_bound);
+    const auto ended = cluster->daemon(3).wait_exit(stop_bound);
     ASSERT_TRUE(ended);
     EXPECT_EQ(ended->code, 0);
     expect_all_completed(running.get());
@@ -144,19 +145,20 @@
 TEST_F(leaving, stopped_control_hosts_cut_nothing_off)
 {
     auto running = run_beside(load_through({0, 1, 2, 3}, 6));
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
         EXPECT_TRUE(wait_started("disbursement", 20));
-        here->control(i).signal(SIGTERM);
-        const auto ended = here->control(i).wait_exit(stop_bound);
+        cluster->control(i).signal(SIGTERM);
+        const auto ended = cluster->control(i).wait_exit(stop_bound);
         ASSERT_TRUE(ended);
         EXPECT_EQ(ended->code, 0);
         EXPECT_TRUE(wait_started("disbursement", 20));
-        EXPECT_TRUE(here->restart_control(i));
+        EXPECT_TRUE(cluster->restart_control(i));
         EXPECT_TRUE(wait_until(
             [&]
             {
-                return configuration_of(here->control_operators(i)).has_value();
+                return configuration_of(cluster->control_operators(i))
+                    .has_value();
             }));
     }
     const auto records = running.get();
@@ -172,16 +174,16 @@
     options.upstreams = {{"disbursement", "{}"}, {"balances", "{}"}};
     options.accept_ms = 10000;
     start(options, association_classes(), {offered_view(1)});
-    here->daemon(1).signal(SIGTERM);
+    cluster->daemon(1).signal(SIGTERM);
     auto asked = load({offered_view(50)}, 1);
-    asked.daemons = {here->daemon_callers(0)};
+    asked.daemons = {cluster->daemon_callers(0)};
     asked.max_tries = 1;
     auto running = run_beside(asked);
     const auto records = running.get();
     EXPECT_FALSE(records.empty());
-    EXPECT_EQ(count_view(records, caller_view::completed), records.size())
-        << here->logs();
-    const auto ended = here->daemon(1).wait_exit(stop_bound);
+    EXPECT_EQ(count_outcome(records, caller_outcome::completed), records.size())
+        << cluster->logs();
+    const auto ended = cluster->daemon(1).wait_exit(stop_bound);
     ASSERT_TRUE(ended);
     EXPECT_EQ(ended->code, 0);
 }
--- a/testing/load_client.cpp
+++ b/testing/load_client.cpp
@@ -21,8 +21,8 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds longest_retry_wait(2000);
-constexpr std::chrono::milliseconds retry_wait_without_hint(50);
+constexpr std::chrono::milliseconds max_retry_delay(2000);
+constexpr std::chrono::milliseconds default_retry_delay(50);
 constexpr unsigned status_ok = 200;
 
 struct arrival
@@ -42,7 +42,7 @@
 plan_arrivals(const load_options& options, random_engine& random)
 {
     std::vector<arrival> arrivals;
-    const duration length = std::max(options.length, options.longest);
+    const duration length = std::max(options.length, options.max_length);
     for (std::size_t i = 0; i < options.classes.size(); ++i)
     {
         duration at{};
@@ -96,7 +96,7 @@
     return request;
 }
 
-bool is_own_answer(
+bool matches_expected_body(
     const http_answer& answer,
     const load_record& record,
     const offered_class& offered)
@@ -108,7 +108,7 @@
 
 // Notes what one try brought; `worst` keeps an earlier "unknown" alive,
 // because a later "not run" speaks for the later try only.
-void note_try(
+void record_try(
     const http_result& result,
     const offered_class& offered,
     load_record& record)
@@ -120,23 +120,23 @@
         record.reason = to_text(result.error());
         if (result.error() != http_failure::connect_failed)
         {
-            record.view = caller_view::unknown;
+            record.outcome = caller_outcome::unknown;
         }
         return;
     }
     record.status = result->status;
     record.reason = result->header("nutmeg-reason");
     record.request_id = result->header("nutmeg-request-id");
-    const auto told = result->header("nutmeg-outcome");
-    if (told == "completed" && record.status == status_ok)
+    const auto reported_outcome = result->header("nutmeg-outcome");
+    if (reported_outcome == "completed" && record.status == status_ok)
     {
-        record.view = is_own_answer(*result, record, offered)
-                          ? caller_view::completed
-                          : caller_view::wrong;
+        record.outcome = matches_expected_body(*result, record, offered)
+                             ? caller_outcome::completed
+                             : caller_outcome::wrong;
     }
-    else if (told != "not-run")
+    else if (reported_outcome != "not-run")
     {
-        record.view = caller_view::unknown;
+        record.outcome = caller_outcome::unknown;
         if (record.reason.empty())
         {
             record.reason = "status_" + std::to_string(record.status);
@@ -144,16 +144,16 @@
     }
 }
 
-std::chrono::milliseconds hinted_wait(const http_result& result)
+std::chrono::milliseconds retry_delay(const http_result& result)
 {
     if (!result)
     {
-        return retry_wait_without_hint;
+        return default_retry_delay;
     }
     const auto text = result->header("nutmeg-retry-after-ms");
-    std::int64_t value = retry_wait_without_hint.count();
+    std::int64_t value = default_retry_delay.count();
     std::from_chars(text.data(), text.data() + text.size(), value);
-    return std::min(std::chrono::milliseconds(value), longest_retry_wait);
+    return std::min(std::chrono::milliseconds(value), max_retry_delay);
 }
 
 // All state of one run; single thread.
@@ -163,7 +163,7 @@
     explicit load_run(const load_options& options)
         : options_(options)
         , random_(options.seed)
-        , customers_(options.seed)
+        , customer_random_(options.seed)
     {
         for (const auto& daemon : options.daemons)
         {
@@ -177,7 +177,7 @@
         started_ = host_clock().now();
         asio::co_spawn(context_, generate(arrivals), asio::detached);
         context_.run();
-        records_.resize(offered_);
+        records_.resize(arrived_);
         return std::move(records_);
     }
 
@@ -198,7 +198,7 @@
             {
                 co_return;
             }
-            ++offered_;
+            ++arrived_;
             prepare(i, arrivals[i]);
             asio::co_spawn(
                 context_, call(i, arrivals[i].class_index), asio::detached);
@@ -218,11 +218,11 @@
         record.token = options_.prefix + "-" + std::to_string(index);
         record.customer =
             "customer-" +
-            std::to_string(uniform_below(customers_, offered.customers));
+            std::to_string(uniform_below(customer_random_, offered.customers));
         record.key = offered.keyed ? record.token : std::string();
         record.arrival = planned.at;
         record.service_ms = offered.service_ms;
-        record.view = caller_view::not_run;
+        record.outcome = caller_outcome::not_run;
     }
 
     asio::awaitable<void> call(std::size_t index, std::size_t class_index)
@@ -236,9 +236,9 @@
             const auto& daemon = daemons_[next_daemon_++ % daemons_.size()];
             const auto result =
                 co_await client_.call(daemon, request, offered.timeout);
-            note_try(result, offered, record);
-            if (record.view == caller_view::completed ||
-                record.view == caller_view::wrong ||
+            record_try(result, offered, record);
+            if (record.outcome == caller_outcome::completed ||
+                record.outcome == caller_outcome::wrong ||
                 options_.retries == client_retries::none ||
                 record.tries == options_.max_tries)
             {
@@ -246,7 +246,7 @@
             }
             if (options_.retries == client_retries::as_answer_allows)
             {
-                timer.expires_after(hinted_wait(result));
+                timer.expires_after(retry_delay(result));
                 co_await timer.async_wait(asio::use_awaitable);
             }
         }
@@ -258,7 +258,7 @@
     random_engine random_;
     // Of its own: the same requests come from the same customers, however long
     // the load is planned for.
-    random_engine customers_;
+    random_engine customer_random_;
     asio::io_context context_{1};
     async_http_client client_{context_};
     std::vector<tcp_endpoint> daemons_;
@@ -266,22 +266,22 @@
     time_point started_{};
     std::vector<load_record> records_;
     // Of the records, those whose requests have arrived.
-    std::size_t offered_ = 0;
+    std::size_t arrived_ = 0;
 };
 
 } // namespace
 
-std::string_view to_text(caller_view view)
+std::string_view to_text(caller_outcome outcome)
 {
-    switch (view)
+    switch (outcome)
     {
-    case caller_view::completed:
+    case caller_outcome::completed:
         return "completed";
-    case caller_view::not_run:
+    case caller_outcome::not_run:
         return "not_run";
-    case caller_view::unknown:
+    case caller_outcome::unknown:
         return "unknown";
-    case caller_view::wrong:
+    case caller_outcome::wrong:
         break;
     }
     return "wrong";
--- a/testing/load_client.hpp
+++ b/testing/load_client.hpp
@@ -56,7 +56,7 @@
     // Longer than `length`: the load goes on until `stop` is requested or this
     // has passed, so that what a test does beside it has load however slowly
     // it gets on.
-    std::chrono::milliseconds longest{0};
+    std::chrono::milliseconds max_length{0};
     std::stop_token stop;
     bool poisson = true;
     client_retries retries = client_retries::none;
@@ -69,7 +69,7 @@
 };
 
 // What the caller knows at the end.
-enum class caller_view : std::uint8_t
+enum class caller_outcome : std::uint8_t
 {
     completed, // a whole answer of the upstream's
     not_run,   // every try was told "not run"
@@ -77,7 +77,7 @@
     wrong      // a clean answer whose bytes are not the request's
 };
 
-[[nodiscard]] std::string_view to_text(caller_view view);
+[[nodiscard]] std::string_view to_text(caller_outcome outcome);
 
 struct load_record
 {
@@ -86,7 +86,7 @@
     std::string key;
     std::string customer;
     std::string request_id;
-    caller_view view = caller_view::unknown;
+    caller_outcome outcome = caller_outcome::unknown;
     unsigned status = 0;
     // `nutmeg-reason`, or the http_failure's name.
     std::string reason;
--- a/testing/load_report.cpp
+++ b/testing/load_report.cpp
@@ -37,11 +37,11 @@
 {
     ++summary.offered;
     summary.tries += record.tries;
-    summary.completed += record.view == caller_view::completed ? 1 : 0;
-    summary.not_run += record.view == caller_view::not_run ? 1 : 0;
-    summary.unknown += record.view == caller_view::unknown ? 1 : 0;
-    summary.wrong += record.view == caller_view::wrong ? 1 : 0;
-    if (record.view == caller_view::completed)
+    summary.completed += record.outcome == caller_outcome::completed ? 1 : 0;
+    summary.not_run += record.outcome == caller_outcome::not_run ? 1 : 0;
+    summary.unknown += record.outcome == caller_outcome::unknown ? 1 : 0;
+    summary.wrong += record.outcome == caller_outcome::wrong ? 1 : 0;
+    if (record.outcome == caller_outcome::completed)
     {
         summary.latencies_ms.push_back(
             static_cast<double>(record.latency.count()) / ns_per_ms);
--- a/testing/operator_client.cpp
+++ b/testing/operator_client.cpp
@@ -41,19 +41,19 @@
 std::string declaration(
     std::string_view change_id,
     std::uint64_t based_on,
-    const declared_class& what)
+    const declared_class& declared)
 {
     const json::object target{
-        {"latency_ms", what.latency_ms},
-        {"completion_ppm", what.completion_ppm}};
+        {"latency_ms", declared.latency_ms},
+        {"completion_ppm", declared.completion_ppm}};
     const json::object declare{
-        {"name", what.name},
-        {"service", what.service},
-        {"method", what.method},
-        {"path_prefix", what.path_prefix},
-        {"rank", what.rank},
-        {"repeatable", what.repeatable},
-        {"bulk", what.bulk},
+        {"name", declared.name},
+        {"service", declared.service},
+        {"method", declared.method},
+        {"path_prefix", declared.path_prefix},
+        {"rank", declared.rank},
+        {"repeatable", declared.repeatable},
+        {"bulk", declared.bulk},
         {"target", target}};
     const json::object change{
         {"change_id", change_id},
--- a/testing/operator_client.hpp
+++ b/testing/operator_client.hpp
@@ -47,7 +47,7 @@
 [[nodiscard]] std::string declaration(
     std::string_view change_id,
     std::uint64_t based_on,
-    const declared_class& what);
+    const declared_class& declared);
 [[nodiscard]] std::string target_change(
     std::string_view change_id,
     std::uint64_t based_on,
--- a/testing/oracle.cpp
+++ b/testing/oracle.cpp
@@ -26,22 +26,22 @@
 }
 
 std::optional<violation_kind>
-judge(const load_record& record, const execution_count& count)
+find_violation(const load_record& record, const execution_count& count)
 {
     const bool keyed = !record.key.empty();
     if (keyed && count.started > 1)
     {
         return violation_kind::ran_twice;
     }
-    if (record.view == caller_view::not_run && count.started > 0)
+    if (record.outcome == caller_outcome::not_run && count.started > 0)
     {
         return violation_kind::not_run_but_ran;
     }
-    if (record.view == caller_view::completed && count.finished == 0)
+    if (record.outcome == caller_outcome::completed && count.finished == 0)
     {
         return violation_kind::completed_not_run;
     }
-    if (record.view == caller_view::wrong)
+    if (record.outcome == caller_outcome::wrong)
     {
         return violation_kind::wrong_answer;
     }
@@ -52,9 +52,9 @@
 
 std::string to_text(const std::vector<violation>& violations)
 {
-    constexpr std::size_t most_shown = 10;
+    constexpr std::size_t max_shown = 10;
     std::string text = std::to_string(violations.size()) + " violations";
-    const auto shown = std::min(violations.size(), most_shown);
+    const auto shown = std::min(violations.size(), max_shown);
     for (std::size_t i = 0; i < shown; ++i)
     {
         const auto& item = violations[i];
@@ -75,7 +75,7 @@
         const auto found = counts.find(record.token);
         const auto count =
             found == counts.end() ? execution_count() : found->second;
-        if (const auto kind = judge(record, count))
+        if (const auto kind = find_violation(record, count))
         {
             violations.push_back(
                 {*kind,
@@ -99,14 +99,14 @@
 }
 
 std::size_t
-count_view(const std::vector<load_record>& records, caller_view view)
+count_outcome(const std::vector<load_record>& records, caller_outcome outcome)
 {
     return static_cast<std::size_t>(std::count_if(
         records.begin(),
         records.end(),
-        [view](const load_record& record)
+        [outcome](const load_record& record)
         {
-            return record.view == view;
+            return record.outcome == outcome;
         }));
 }
 
--- a/testing/oracle.hpp
+++ b/testing/oracle.hpp
@@ -40,7 +40,7 @@
 
 // How many records were seen so.
 [[nodiscard]] std::size_t
-count_view(const std::vector<load_record>& records, caller_view view);
+count_outcome(const std::vector<load_record>& records, caller_outcome outcome);
 
 } // namespace nutmegusher::test_support
 
--- a/testing/oracle_test.cpp
+++ b/testing/oracle_test.cpp
@@ -8,44 +8,44 @@
 {
 
 std::vector<violation>
-judge(caller_view view, bool keyed, execution_count count)
+check_one(caller_outcome outcome, bool keyed, execution_count count)
 {
     load_record record;
     record.class_name = "payout";
     record.token = "t";
     record.key = keyed ? "t" : "";
-    record.view = view;
+    record.outcome = outcome;
     return check_executions({record}, {{"t", count}});
 }
 
 TEST(oracle, finds_a_keyed_call_that_ran_twice)
 {
     EXPECT_EQ(
-        judge(caller_view::completed, true, {2, 2}).at(0).kind,
+        check_one(caller_outcome::completed, true, {2, 2}).at(0).kind,
         violation_kind::ran_twice);
-    EXPECT_TRUE(judge(caller_view::completed, false, {2, 2}).empty());
+    EXPECT_TRUE(check_one(caller_outcome::completed, false, {2, 2}).empty());
 }
 
 TEST(oracle, finds_a_false_not_run)
 {
     EXPECT_EQ(
-        judge(caller_view::not_run, true, {1, 0}).at(0).kind,
+        check_one(caller_outcome::not_run, true, {1, 0}).at(0).kind,
         violation_kind::not_run_but_ran);
-    EXPECT_TRUE(judge(caller_view::not_run, true, {0, 0}).empty());
-    EXPECT_TRUE(judge(caller_view::unknown, true, {1, 0}).empty());
+    EXPECT_TRUE(check_one(caller_outcome::not_run, true, {0, 0}).empty());
+    EXPECT_TRUE(check_one(caller_outcome::unknown, true, {1, 0}).empty());
 }
 
 TEST(oracle, finds_an_answer_without_an_execution)
 {
     EXPECT_EQ(
-        judge(caller_view::completed, true, {0, 0}).at(0).kind,
+        check_one(caller_outcome::completed, true, {0, 0}).at(0).kind,
         violation_kind::completed_not_run);
 }
 
 TEST(oracle, finds_a_wrong_answer)
 {
     EXPECT_EQ(
-        judge(caller_view::wrong, false, {1, 1}).at(0).kind,
+        check_one(caller_outcome::wrong, false, {1, 1}).at(0).kind,
         violation_kind::wrong_answer);
 }
 
--- a/testing/overload_test.cpp
+++ b/testing/overload_test.cpp
@@ -14,7 +14,7 @@
     static double share(
         const std::vector<load_record>& records,
         const std::string& class_name,
-        caller_view view)
+        caller_outcome view)
     {
         double all = 0;
         double such = 0;
@@ -23,7 +23,7 @@
             if (record.class_name == class_name)
             {
                 ++all;
-                such += record.view == view ? 1 : 0;
+                such += record.outcome == view ? 1 : 0;
             }
         }
         return such / all;
@@ -59,7 +59,7 @@
     {
         const auto not_completed = [&records](const std::string& name)
         {
-            return 1.0 - share(records, name, caller_view::completed);
+            return 1.0 - share(records, name, caller_outcome::completed);
         };
         const auto table = to_table(records, offered);
         EXPECT_LT(not_completed("payout"), 0.05) << table;
@@ -83,9 +83,9 @@
 {
     auto running = run_beside(offered);
     EXPECT_TRUE(wait_started("cash", 1000));
-    here->daemon(1).freeze();
+    cluster->daemon(1).freeze();
     std::this_thread::sleep_for(std::chrono::milliseconds(600));
-    here->daemon(1).thaw();
+    cluster->daemon(1).thaw();
     expect_payouts_refused_last(running.get());
 }
 
@@ -125,11 +125,11 @@
         return read;
     }
 
-    std::uint32_t most_at(std::size_t hop) const
+    std::uint32_t max_executions_at(std::size_t hop) const
     {
         std::uint32_t most = 0;
         for (const auto& [token, count] :
-             here->executions_by_token("hop" + std::to_string(hop)))
+             cluster->executions_by_token("hop" + std::to_string(hop)))
         {
             most = std::max(most, count.started);
         }
@@ -140,18 +140,18 @@
 TEST_F(deep_chain, executions_for_one_request_are_bounded_at_every_hop)
 {
     // One first try, and the retry tokens of the whole request.
-    constexpr std::uint32_t most_tries = 4;
-    here->control_upstream(depth - 1, R"({"error_share": 1.0})");
-    here->control_upstream(depth - 2, R"({"cut_share": 0.7})");
-    here->control_upstream(depth - 4, R"({"cut_share": 0.7})");
+    constexpr std::uint32_t max_executions = 4;
+    cluster->control_upstream(depth - 1, R"({"error_share": 1.0})");
+    cluster->control_upstream(depth - 2, R"({"cut_share": 0.7})");
+    cluster->control_upstream(depth - 4, R"({"cut_share": 0.7})");
     auto options = load({offered_read(40)}, 3);
-    options.daemons = {here->daemon_callers(0)};
+    options.daemons = {cluster->daemon_callers(0)};
     options.max_tries = 1;
     const auto records = run_load(options);
     EXPECT_GT(records.size(), 50U);
     for (std::size_t hop = 0; hop < depth; ++hop)
     {
-        EXPECT_LE(most_at(hop), most_tries) << "hop " << hop;
+        EXPECT_LE(max_executions_at(hop), max_executions) << "hop " << hop;
     }
 }
 
@@ -162,11 +162,11 @@
     const auto records = run_load(options);
     expect_completed(records, 0.9);
     // A busy machine may cause refusals, which are honest; nothing is lost.
-    EXPECT_EQ(count_view(records, caller_view::unknown), 0U);
-    EXPECT_EQ(count_view(records, caller_view::wrong), 0U);
+    EXPECT_EQ(count_outcome(records, caller_outcome::unknown), 0U);
+    EXPECT_EQ(count_outcome(records, caller_outcome::wrong), 0U);
     for (std::size_t hop = 0; hop < depth; ++hop)
     {
-        EXPECT_EQ(most_at(hop), 1U) << "hop " << hop;
+        EXPECT_EQ(max_executions_at(hop), 1U) << "hop " << hop;
     }
 }
 
--- a/testing/process.cpp
+++ b/testing/process.cpp
@@ -27,7 +27,7 @@
 constexpr std::chrono::milliseconds poll_period(10);
 constexpr mode_t log_mode = 0644;
 // Runs a program that ends with its parent; part of every Debian system.
-constexpr const char* set_privileges = "/usr/bin/setpriv";
+constexpr const char* setpriv_path = "/usr/bin/setpriv";
 
 error_code system_error(int number)
 {
@@ -39,10 +39,10 @@
 {
     std::istringstream status(
         read_file("/proc/" + std::to_string(id) + "/status"));
-    std::string word;
-    while (status >> word)
+    std::string token;
+    while (status >> token)
     {
-        if (word == name)
+        if (token == name)
         {
             std::uint64_t kib = 0;
             status >> kib;
@@ -87,14 +87,14 @@
     const std::vector<std::string>& arguments,
     const std::string& log)
 {
-    std::vector<std::string> words{
-        set_privileges, "--pdeathsig", "KILL", program};
-    words.insert(words.end(), arguments.begin(), arguments.end());
+    std::vector<std::string> command{
+        setpriv_path, "--pdeathsig", "KILL", program};
+    command.insert(command.end(), arguments.begin(), arguments.end());
     std::vector<char*> pointers;
-    pointers.reserve(words.size() + 1);
-    for (auto& word : words)
+    pointers.reserve(command.size() + 1);
+    for (auto& token : command)
     {
-        pointers.push_back(word.data());
+        pointers.push_back(token.data());
     }
     pointers.push_back(nullptr);
     posix_spawn_file_actions_t actions;
@@ -110,7 +110,7 @@
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     pid_t id = 0;
     const int failed = posix_spawn(
-        &id, set_privileges, &actions, nullptr, pointers.data(), environ);
+        &id, setpriv_path, &actions, nullptr, pointers.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (failed != 0)
     {
@@ -237,7 +237,7 @@
     return true;
 }
 
-std::string built_program(std::string_view name)
+std::string program_path(std::string_view name)
 {
     const auto self = std::filesystem::read_symlink("/proc/self/exe");
     return self.parent_path() / name;
--- a/testing/process.hpp
+++ b/testing/process.hpp
@@ -96,7 +96,7 @@
     std::chrono::milliseconds limit = std::chrono::seconds(30));
 
 // The path of a program of this build, beside the running one.
-[[nodiscard]] std::string built_program(std::string_view name);
+[[nodiscard]] std::string program_path(std::string_view name);
 
 [[nodiscard]] std::string read_file(const std::string& path);
 
--- a/testing/proof_fixture.hpp
+++ b/testing/proof_fixture.hpp
@@ -14,10 +14,10 @@
 protected:
     void TearDown() override
     {
-        if (here)
+        if (cluster)
         {
-            EXPECT_EQ(here->crashes(), std::vector<std::string>())
-                << here->logs();
+            EXPECT_EQ(cluster->crashes(), std::vector<std::string>())
+                << cluster->logs();
         }
     }
 
@@ -29,13 +29,13 @@
     {
         auto started = deployment::start(options);
         ASSERT_TRUE(started) << started.error().message();
-        here = std::move(*started);
-        ASSERT_TRUE(here->declare(classes)) << here->logs();
+        cluster = std::move(*started);
+        ASSERT_TRUE(cluster->declare(classes)) << cluster->logs();
         for (const auto& offered : ready)
         {
-            ASSERT_TRUE(here->wait_served(offered))
+            ASSERT_TRUE(cluster->wait_served(offered))
                 << offered.name << " isn't served\n"
-                << here->logs();
+                << cluster->logs();
         }
     }
 
@@ -44,7 +44,7 @@
     load(const std::vector<offered_class>& classes, double seconds) const
     {
         load_options options;
-        options.daemons = here->all_daemon_callers();
+        options.daemons = cluster->all_daemon_callers();
         options.classes = classes;
         options.length = std::chrono::milliseconds(
             static_cast<std::int64_t>(seconds * 1000.0));
@@ -62,11 +62,11 @@
     [[nodiscard]] bool
     wait_started(const std::string& service, std::size_t count) const
     {
-        const auto before = here->executions_by_token(service).size();
+        const auto before = cluster->executions_by_token(service).size();
         return wait_until(
             [&]
             {
-                return here->executions_by_token(service).size() >=
+                return cluster->executions_by_token(service).size() >=
                        before + count;
             });
     }
@@ -75,23 +75,24 @@
     void expect_no_violation(const std::vector<load_record>& records) const
     {
         const auto violations =
-            check_executions(records, here->executions_by_token());
+            check_executions(records, cluster->executions_by_token());
         EXPECT_TRUE(violations.empty()) << to_text(violations) << '\n'
-                                        << here->logs();
+                                        << cluster->logs();
     }
 
-    static void expect_completed(
-        const std::vector<load_record>& records, double least_share)
+    static void
+    expect_completed(const std::vector<load_record>& records, double min_share)
     {
-        const auto completed = count_view(records, caller_view::completed);
+        const auto completed =
+            count_outcome(records, caller_outcome::completed);
         load_options for_table;
         EXPECT_GE(
             static_cast<double>(completed),
-            least_share * static_cast<double>(records.size()))
+            min_share * static_cast<double>(records.size()))
             << to_table(records, for_table);
     }
 
-    std::unique_ptr<deployment> here;
+    std::unique_ptr<deployment> cluster;
 };
 
 } // namespace nutmegusher::test_support
--- a/testing/relay.cpp
+++ b/testing/relay.cpp
@@ -29,7 +29,7 @@
 namespace
 {
 
-constexpr std::size_t piece_size = 16 * 1024;
+constexpr std::size_t chunk_size = 16 * 1024;
 
 // A connection on both sides, with what holds for it.
 struct relayed_pair
@@ -98,8 +98,8 @@
     }
 
     void set(const relay_behavior& behavior);
-    void set_from(pid_t process, const relay_behavior& behavior);
-    void forget(pid_t process);
+    void set_for_process(pid_t process, const relay_behavior& behavior);
+    void clear_process(pid_t process);
     void cut();
 
     [[nodiscard]] std::size_t open_connections() const
@@ -108,17 +108,17 @@
     }
 
 private:
-    asio::awaitable<void> accept_all();
+    asio::awaitable<void> accept_connections();
     asio::awaitable<void> connect(pair_pointer pair);
     asio::awaitable<void> pump(pair_pointer pair, bool to_target);
-    // Of the connection's owner where there is one, else `otherwise`.
-    [[nodiscard]] relay_behavior behavior_of(
-        const relayed_pair& pair, const relay_behavior& otherwise) const;
+    // Of the connection's owner where there is one, else `fallback`.
+    [[nodiscard]] relay_behavior
+    behavior_of(const relayed_pair& pair, const relay_behavior& fallback) const;
 
     tcp_endpoint target_;
     asio::io_context context_{1};
     asio::ip::tcp::acceptor acceptor_{context_};
-    relay_behavior for_new_;
+    relay_behavior new_connection_behavior_;
     std::map<pid_t, relay_behavior> by_process_;
     std::set<pair_pointer> open_;
     std::thread thread_;
@@ -127,12 +127,12 @@
 error_code relay::server::start(const std::string& listen)
 {
     error_code error;
-    const auto place = parse_endpoint(listen);
-    acceptor_.open(place.protocol(), error);
+    const auto endpoint = parse_endpoint(listen);
+    acceptor_.open(endpoint.protocol(), error);
     if (!error)
     {
         acceptor_.set_option(asio::socket_base::reuse_address(true), error);
-        acceptor_.bind(place, error);
+        acceptor_.bind(endpoint, error);
     }
     if (!error)
     {
@@ -140,7 +140,7 @@
     }
     if (!error)
     {
-        asio::co_spawn(context_, accept_all(), asio::detached);
+        asio::co_spawn(context_, accept_connections(), asio::detached);
         thread_ = std::thread(
             [this]
             {
@@ -152,15 +152,17 @@
 
 void relay::server::set(const relay_behavior& behavior)
 {
-    for_new_ = behavior.new_connections_too ? behavior : relay_behavior();
-    for_new_.refuse_new = behavior.refuse_new;
+    new_connection_behavior_ =
+        behavior.new_connections_too ? behavior : relay_behavior();
+    new_connection_behavior_.refuse_new = behavior.refuse_new;
     for (const auto& pair : open_)
     {
         pair->behavior = behavior_of(*pair, behavior);
     }
 }
 
-void relay::server::set_from(pid_t process, const relay_behavior& behavior)
+void relay::server::set_for_process(
+    pid_t process, const relay_behavior& behavior)
 {
     by_process_[process] = behavior;
     for (const auto& pair : open_)
@@ -169,26 +171,26 @@
     }
 }
 
-void relay::server::forget(pid_t process)
+void relay::server::clear_process(pid_t process)
 {
-    set_from(process, for_new_);
+    set_for_process(process, new_connection_behavior_);
     by_process_.erase(process);
 }
 
 relay_behavior relay::server::behavior_of(
-    const relayed_pair& pair, const relay_behavior& otherwise) const
+    const relayed_pair& pair, const relay_behavior& fallback) const
 {
     error_code error;
     const auto from = pair.client.remote_endpoint(error);
-    const auto here = pair.client.local_endpoint(error);
+    const auto local = pair.client.local_endpoint(error);
     for (const auto& [process, behavior] : by_process_)
     {
-        if (!error && internal::owns_connection(process, from, here))
+        if (!error && internal::owns_connection(process, from, local))
         {
             return behavior;
         }
     }
-    return otherwise;
+    return fallback;
 }
 
 void relay::server::cut()
@@ -200,19 +202,19 @@
     open_.clear();
 }
 
-asio::awaitable<void> relay::server::accept_all()
+asio::awaitable<void> relay::server::accept_connections()
 {
     for (;;)
     {
         error_code error;
         auto token = asio::redirect_error(asio::use_awaitable, error);
         auto socket = co_await acceptor_.async_accept(token);
-        if (error || for_new_.refuse_new)
+        if (error || new_connection_behavior_.refuse_new)
         {
             continue;
         }
         auto pair = std::make_shared<relayed_pair>(std::move(socket));
-        pair->behavior = behavior_of(*pair, for_new_);
+        pair->behavior = behavior_of(*pair, new_connection_behavior_);
         open_.insert(pair);
         asio::co_spawn(context_, connect(std::move(pair)), asio::detached);
     }
@@ -240,14 +242,15 @@
 {
     auto& from = to_target ? pair->client : pair->target;
     auto& into = to_target ? pair->target : pair->client;
-    std::array<char, piece_size> piece{};
+    std::array<char, chunk_size> chunk{};
     asio::steady_timer timer(context_);
     for (;;)
     {
         error_code error;
         auto token = asio::redirect_error(asio::use_awaitable, error);
-        const auto room = asio::buffer(piece);
-        const std::size_t size = co_await from.async_read_some(room, token);
+        const auto read_buffer = asio::buffer(chunk);
+        const std::size_t size =
+            co_await from.async_read_some(read_buffer, token);
         if (pair->behavior.delay.count() > 0)
         {
             error_code ignored;
@@ -267,7 +270,7 @@
         }
         if (!error)
         {
-            const auto bytes = asio::buffer(piece.data(), size);
+            const auto bytes = asio::buffer(chunk.data(), size);
             co_await asio::async_write(into, bytes, token);
         }
         if (error)
@@ -306,21 +309,21 @@
         });
 }
 
-void relay::set_from(pid_t process, const relay_behavior& behavior)
+void relay::set_for_process(pid_t process, const relay_behavior& behavior)
 {
     server_->run(
         [this, process, &behavior]
         {
-            server_->set_from(process, behavior);
+            server_->set_for_process(process, behavior);
         });
 }
 
-void relay::forget(pid_t process)
+void relay::clear_process(pid_t process)
 {
     server_->run(
         [this, process]
         {
-            server_->forget(process);
+            server_->clear_process(process);
         });
 }
 
@@ -358,10 +361,10 @@
             member && member->is_string() && member->get_string() == "silent";
         return silent ? relay_direction::silent : relay_direction::pass;
     };
-    const auto flag = [&object](const char* name, bool otherwise)
+    const auto flag = [&object](const char* name, bool fallback)
     {
         const auto* member = object.if_contains(name);
-        return member && member->is_bool() ? member->get_bool() : otherwise;
+        return member && member->is_bool() ? member->get_bool() : fallback;
     };
     relay_behavior behavior;
     behavior.to_target = direction("to_target");
--- a/testing/relay.hpp
+++ b/testing/relay.hpp
@@ -57,10 +57,10 @@
 
     // The same for the connections that one process opens or has opened; the
     // process needn't run any more. It goes before `set`.
-    void set_from(pid_t process, const relay_behavior& behavior);
+    void set_for_process(pid_t process, const relay_behavior& behavior);
 
-    // Takes `set_from` back: the process is like any other again.
-    void forget(pid_t process);
+    // Takes `set_for_process` back: the process is like any other again.
+    void clear_process(pid_t process);
 
     // Resets all open connections.
     void cut();
--- a/testing/running_load.hpp
+++ b/testing/running_load.hpp
@@ -25,7 +25,7 @@
 public:
     explicit running_load(load_options options)
     {
-        options.longest = longest;
+        options.max_length = max_length;
         options.stop = stop_.get_token();
         records_ = std::async(
             std::launch::async,
@@ -59,7 +59,7 @@
     }
 
     // A test that hangs ends by then: five waits of 30 s, the bound of each.
-    static constexpr std::chrono::milliseconds longest{150'000};
+    static constexpr std::chrono::milliseconds max_length{150'000};
 
 private:
     std::stop_source stop_;
--- a/testing/silence_test.cpp
+++ b/testing/silence_test.cpp
@@ -28,9 +28,9 @@
         silent.to_target = relay_direction::silent;
         silent.to_client = relay_direction::silent;
         silent.new_connections_too = false;
-        for (std::size_t i = 0; i < here->daemon_count(); ++i)
+        for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
         {
-            here->upstream_relay(i).set(silent);
+            cluster->upstream_relay(i).set(silent);
         }
     }
 };
@@ -51,11 +51,11 @@
 {
     auto running = run_beside(load({offered_payout(60), offered_view(150)}, 4));
     EXPECT_TRUE(wait_started("balances", 50));
-    relay_behavior deaf;
-    deaf.to_client = relay_direction::silent;
-    deaf.new_connections_too = false;
-    here->upstream_relay(0).set(deaf);
-    here->upstream_relay(2).set(deaf);
+    relay_behavior one_way_silent;
+    one_way_silent.to_client = relay_direction::silent;
+    one_way_silent.new_connections_too = false;
+    cluster->upstream_relay(0).set(one_way_silent);
+    cluster->upstream_relay(2).set(one_way_silent);
     const auto records = running.get();
     expect_no_violation(records);
     expect_completed(records, 0.9);
@@ -68,8 +68,8 @@
     relay_behavior silent;
     silent.to_target = relay_direction::silent;
     silent.to_client = relay_direction::silent;
-    here->upstream_relay(0).set(silent);
-    here->upstream_relay(2).set(silent);
+    cluster->upstream_relay(0).set(silent);
+    cluster->upstream_relay(2).set(silent);
     const auto records = running.get();
     expect_no_violation(records);
     expect_completed(records, 0.7);
@@ -78,14 +78,14 @@
 TEST_F(silence, frozen_daemon_is_left_by_the_others)
 {
     auto options = load({offered_view(150)}, 5);
-    options.daemons = {here->daemon_callers(0), here->daemon_callers(1)};
+    options.daemons = {cluster->daemon_callers(0), cluster->daemon_callers(1)};
     auto running = run_beside(options);
     EXPECT_TRUE(wait_started("balances", 50));
-    here->daemon(2).freeze();
+    cluster->daemon(2).freeze();
     const auto records = running.get();
     expect_completed(records, 0.95);
-    here->daemon(2).thaw();
-    EXPECT_TRUE(here->wait_served(offered_view(1)));
+    cluster->daemon(2).thaw();
+    EXPECT_TRUE(cluster->wait_served(offered_view(1)));
 }
 
 } // namespace
--- a/testing/socket_owner.cpp
+++ b/testing/socket_owner.cpp
@@ -13,9 +13,9 @@
 {
 
 // "0100007F:1F90", as the kernel's table writes an IPv4 address.
-std::string kernel_form(const tcp_endpoint& place)
+std::string proc_net_text(const tcp_endpoint& endpoint)
 {
-    const auto bytes = place.address().to_v4().to_bytes();
+    const auto bytes = endpoint.address().to_v4().to_bytes();
     std::array<char, 16> text{};
     std::snprintf(
         text.data(),
@@ -25,14 +25,15 @@
         bytes[2],
         bytes[1],
         bytes[0],
-        place.port());
+        endpoint.port());
     return text.data();
 }
 
 // The socket's inode; empty where there is no such connection.
-std::string inode_of(const tcp_endpoint& local, const tcp_endpoint& remote)
+std::string
+find_socket_inode(const tcp_endpoint& local, const tcp_endpoint& remote)
 {
-    const auto wanted = kernel_form(local) + " " + kernel_form(remote);
+    const auto wanted = proc_net_text(local) + " " + proc_net_text(remote);
     std::ifstream table("/proc/net/tcp");
     std::string line;
     while (std::getline(table, line))
@@ -58,7 +59,7 @@
 bool owns_connection(
     pid_t process, const tcp_endpoint& local, const tcp_endpoint& remote)
 {
-    const auto inode = inode_of(local, remote);
+    const auto inode = find_socket_inode(local, remote);
     if (inode.empty())
     {
         return false;
--- a/testing/stand_in_answers.cpp
+++ b/testing/stand_in_answers.cpp
@@ -22,10 +22,11 @@
 
 constexpr std::uint64_t chunk_size = 64 * 1024;
 
-std::uint64_t asked_bytes(const http::fields& fields, std::uint64_t otherwise)
+std::uint64_t
+requested_bytes(const http::fields& fields, std::uint64_t fallback)
 {
     const auto found = fields.find("x-answer-bytes");
-    return found == fields.end() ? otherwise
+    return found == fields.end() ? fallback
                                  : std::stoull(std::string(found->value()));
 }
 
@@ -34,7 +35,7 @@
 asio::awaitable<void> stand_in_upstream::server::send_body(session_pointer from)
 {
     const std::string token(from->request["x-token"]);
-    const auto size = asked_bytes(from->request, behavior_.answer_bytes);
+    const auto size = requested_bytes(from->request, behavior_.answer_bytes);
     const bool fails = uniform_unit(random_) < behavior_.error_share;
     const bool cut = uniform_unit(random_) < behavior_.cut_share;
     http::response<http::buffer_body> answer(
@@ -74,7 +75,8 @@
 }
 
 stand_in_upstream::server::response_message
-stand_in_upstream::server::answer_own(const request_message& request)
+stand_in_upstream::server::answer_control_request(
+    const request_message& request)
 {
     response_message answer(http::status::ok, 11);
     answer.set(http::field::content_type, "application/json");
--- a/testing/stand_in_server.cpp
+++ b/testing/stand_in_server.cpp
@@ -29,7 +29,7 @@
 constexpr std::uint64_t request_body_limit = 128ULL * 1024 * 1024;
 constexpr std::chrono::milliseconds announce_period(500);
 constexpr std::chrono::milliseconds announce_timeout(1000);
-constexpr std::chrono::milliseconds frozen_poll(20);
+constexpr std::chrono::milliseconds frozen_poll_interval(20);
 
 std::string field(const http::fields& fields, std::string_view name)
 {
@@ -39,16 +39,16 @@
 
 execution_identity identity_of(const http::fields& fields)
 {
-    execution_identity who;
+    execution_identity identity;
     const std::string key = field(fields, "idempotency-key");
     if (!key.empty())
     {
-        who.key = field(fields, "nutmeg-customer") + '/' +
-                  field(fields, "nutmeg-class") + '/' + key;
+        identity.key = field(fields, "nutmeg-customer") + '/' +
+                       field(fields, "nutmeg-class") + '/' + key;
     }
-    who.token = field(fields, "x-token");
-    who.request = field(fields, "nutmeg-request-id");
-    return who;
+    identity.token = field(fields, "x-token");
+    identity.request = field(fields, "nutmeg-request-id");
+    return identity;
 }
 
 time_point now()
@@ -80,12 +80,12 @@
 error_code stand_in_upstream::server::start()
 {
     error_code error;
-    const auto place = parse_endpoint(options_.address);
-    acceptor_.open(place.protocol(), error);
+    const auto endpoint = parse_endpoint(options_.address);
+    acceptor_.open(endpoint.protocol(), error);
     if (!error)
     {
         acceptor_.set_option(asio::socket_base::reuse_address(true), error);
-        acceptor_.bind(place, error);
+        acceptor_.bind(endpoint, error);
     }
     if (!error)
     {
@@ -95,10 +95,10 @@
     {
         return error;
     }
-    asio::co_spawn(context_, accept_all(), asio::detached);
+    asio::co_spawn(context_, accept_connections(), asio::detached);
     if (!options_.daemon.empty())
     {
-        asio::co_spawn(context_, announce_for_ever(), asio::detached);
+        asio::co_spawn(context_, announce_periodically(), asio::detached);
     }
     thread_ = std::thread(
         [this]
@@ -139,7 +139,7 @@
     return {};
 }
 
-asio::awaitable<void> stand_in_upstream::server::accept_all()
+asio::awaitable<void> stand_in_upstream::server::accept_connections()
 {
     for (;;)
     {
@@ -156,7 +156,7 @@
     }
 }
 
-asio::awaitable<void> stand_in_upstream::server::announce_for_ever()
+asio::awaitable<void> stand_in_upstream::server::announce_periodically()
 {
     const auto daemon = parse_endpoint(options_.daemon);
     asio::steady_timer timer(context_);
@@ -201,7 +201,7 @@
         if (target.starts_with("/stand-in/") ||
             target.starts_with("/nutmegusher/"))
         {
-            auto answer = answer_own(from->request);
+            auto answer = answer_control_request(from->request);
             co_await send(from, std::move(answer));
         }
         else
@@ -214,7 +214,7 @@
 asio::awaitable<void>
 stand_in_upstream::server::serve_call(session_pointer from)
 {
-    if (sheds())
+    if (should_shed())
     {
         ++shed_;
         response_message answer(http::status::service_unavailable, 11);
@@ -231,7 +231,7 @@
     co_await run_call(from, call);
 }
 
-bool stand_in_upstream::server::sheds() const
+bool stand_in_upstream::server::should_shed() const
 {
     return behavior_.shed_above > 0 &&
            slots_.busy() + slots_.waiting() >= behavior_.shed_above;
@@ -273,12 +273,12 @@
         from->open = false;
         co_return;
     }
-    const auto who = identity_of(from->request);
+    const auto identity = identity_of(from->request);
     if (field(from->request, "nutmeg-timeout-ms").empty())
     {
         ++without_deadline_;
     }
-    log_->started(who);
+    log_->started(identity);
     co_await execute(from, call);
     slots_.release();
     if (call->cancelled)
@@ -286,7 +286,7 @@
         from->open = false;
         co_return;
     }
-    log_->finished(who);
+    log_->finished(identity);
     error_code ignored;
     // Ends the watch; the connection itself stays as it is.
     from->stream.socket().cancel(ignored);
@@ -318,7 +318,8 @@
     {
         error_code ignored;
         auto token = asio::redirect_error(asio::use_awaitable, ignored);
-        call->wake.expires_at(behavior_.frozen ? now() + frozen_poll : until);
+        call->wake.expires_at(
+            behavior_.frozen ? now() + frozen_poll_interval : until);
         co_await call->wake.async_wait(token);
     }
     co_return !call->cancelled;
--- a/testing/stand_in_server.hpp
+++ b/testing/stand_in_server.hpp
@@ -65,8 +65,8 @@
     };
     using session_pointer = std::shared_ptr<session>;
 
-    boost::asio::awaitable<void> accept_all();
-    boost::asio::awaitable<void> announce_for_ever();
+    boost::asio::awaitable<void> accept_connections();
+    boost::asio::awaitable<void> announce_periodically();
     boost::asio::awaitable<void> serve(session_pointer from);
     boost::asio::awaitable<void> serve_call(session_pointer from);
     boost::asio::awaitable<void>
@@ -81,10 +81,11 @@
 
     void watch_for_close(const session_pointer& from, const call_pointer& call);
     outcome<void, behavior_problem> apply(std::string_view json);
-    [[nodiscard]] response_message answer_own(const request_message& request);
+    [[nodiscard]] response_message
+    answer_control_request(const request_message& request);
     [[nodiscard]] std::string load_json();
     [[nodiscard]] std::string status_json() const;
-    [[nodiscard]] bool sheds() const;
+    [[nodiscard]] bool should_shed() const;
     [[nodiscard]] double service_ms(const request_message& request);
     [[nodiscard]] double cold_multiplier() const;
 
--- a/testing/stand_in_test.cpp
+++ b/testing/stand_in_test.cpp
@@ -154,7 +154,7 @@
     for (int run = 0; run < 2; ++run)
     {
         const auto child = child_process::start(
-            built_program("stand_in_upstream"), arguments, folder->path("log"));
+            program_path("stand_in_upstream"), arguments, folder->path("log"));
         ASSERT_TRUE(child);
         const auto answered = [&]
         {
@@ -176,7 +176,7 @@
     const auto start_one = [&]
     {
         return std::move(*child_process::start(
-            built_program("stand_in_upstream"), arguments, folder->path("l")));
+            program_path("stand_in_upstream"), arguments, folder->path("l")));
     };
     const auto killed = start_one();
     killed->kill();
@@ -214,18 +214,18 @@
     ASSERT_TRUE(between);
     relay_behavior silent;
     silent.to_target = relay_direction::silent;
-    (*between)->set_from(getpid(), silent);
+    (*between)->set_for_process(getpid(), silent);
     EXPECT_EQ(
         send_request(through, call("a", 8), milliseconds(200)).error(),
         http_failure::timed_out);
-    (*between)->set_from(getpid(), {});
+    (*between)->set_for_process(getpid(), {});
     (*between)->set(silent);
     EXPECT_TRUE(send_request(through, call("c", 8)));
-    (*between)->forget(getpid());
+    (*between)->clear_process(getpid());
     (*between)->set(silent);
     EXPECT_FALSE(send_request(through, call("d", 8), milliseconds(200)));
     (*between)->set({});
-    (*between)->set_from(getppid(), silent);
+    (*between)->set_for_process(getppid(), silent);
     EXPECT_TRUE(send_request(through, call("b", 8)));
 }
 
--- a/testing/stop_test.cpp
+++ b/testing/stop_test.cpp
@@ -29,7 +29,7 @@
 constexpr unsigned status_ok = 200;
 
 // What callers saw of the requests that they sent during one stop.
-struct stop_tally
+struct stop_results
 {
     std::size_t answered = 0;
     std::size_t refused = 0;
@@ -38,10 +38,10 @@
 };
 
 // Callers of one daemon that keep their connections open.
-class kept_callers
+class keep_alive_callers
 {
 public:
-    kept_callers(const std::string& daemon, std::string prefix)
+    keep_alive_callers(const std::string& daemon, std::string prefix)
         : daemon_(parse_endpoint(daemon))
         , prefix_(std::move(prefix))
     {
@@ -59,12 +59,12 @@
     }
 
     // Sends requests at random moments until no connection is accepted.
-    stop_tally send_until_gone(std::uint64_t seed)
+    stop_results send_until_gone(std::uint64_t seed)
     {
         random_engine random(seed);
         asio::co_spawn(context_, send_all(random), asio::detached);
         context_.run();
-        return std::move(tally_);
+        return std::move(results_);
     }
 
 private:
@@ -94,7 +94,7 @@
     asio::awaitable<void> send_all(random_engine& random)
     {
         asio::steady_timer timer(context_);
-        while (!gone_)
+        while (!daemon_gone_)
         {
             const double gap_ms =
                 -std::log(1.0 - uniform_unit(random)) * mean_gap_ms;
@@ -113,15 +113,16 @@
             co_await client_.call(daemon_, request, request_timeout);
         if (result)
         {
-            ++(result->status == status_ok ? tally_.answered : tally_.refused);
+            ++(result->status == status_ok ? results_.answered
+                                           : results_.refused);
         }
         else if (result.error() == http_failure::connect_failed)
         {
-            gone_ = true;
+            daemon_gone_ = true;
         }
         else
         {
-            tally_.unanswered.insert(request.headers.front().value);
+            results_.unanswered.insert(request.headers.front().value);
         }
     }
 
@@ -130,8 +131,8 @@
     asio::io_context context_{1};
     async_http_client client_{context_};
     std::size_t last_ = 0;
-    bool gone_ = false;
-    stop_tally tally_;
+    bool daemon_gone_ = false;
+    stop_results results_;
 };
 
 class stopping : public proof
@@ -148,21 +149,21 @@
 
     // Stops the first daemon while callers use their connections; the requests
     // that were passed on and not answered.
-    std::vector<std::string> lost_in_a_stop(std::uint64_t seed)
+    std::vector<std::string> requests_lost_in_stop(std::uint64_t seed)
     {
-        kept_callers callers(
-            here->daemon_callers(0), "stop-" + std::to_string(seed));
+        keep_alive_callers callers(
+            cluster->daemon_callers(0), "stop-" + std::to_string(seed));
         callers.open(kept_connections);
-        here->daemon(0).signal(SIGTERM);
-        const auto tally = callers.send_until_gone(seed);
-        const auto ended = here->daemon(0).wait_exit(stop_bound);
+        cluster->daemon(0).signal(SIGTERM);
+        const auto results = callers.send_until_gone(seed);
+        const auto ended = cluster->daemon(0).wait_exit(stop_bound);
         EXPECT_TRUE(ended);
         EXPECT_EQ(ended->code, 0);
-        EXPECT_GT(tally.answered, 0U);
-        const auto run = here->executions_by_token("balances");
+        EXPECT_GT(results.answered, 0U);
+        const auto run = cluster->executions_by_token("balances");
         std::vector<std::string> lost;
         std::ranges::copy_if(
-            tally.unanswered,
+            results.unanswered,
             std::back_inserter(lost),
             [&run](const std::string& token)
             {
@@ -175,11 +176,11 @@
     {
         for (std::uint64_t seed = 1; seed <= stops; ++seed)
         {
-            EXPECT_EQ(lost_in_a_stop(seed), std::vector<std::string>())
+            EXPECT_EQ(requests_lost_in_stop(seed), std::vector<std::string>())
                 << "seed " << seed << '\n'
-                << here->logs();
-            ASSERT_TRUE(here->restart_daemon(0));
-            ASSERT_TRUE(here->wait_served(offered_view(1)));
+                << cluster->logs();
+            ASSERT_TRUE(cluster->restart_daemon(0));
+            ASSERT_TRUE(cluster->wait_served(offered_view(1)));
         }
     }
 
@@ -222,7 +223,7 @@
 
     std::size_t logged(std::size_t index, const std::string& event) const
     {
-        const auto log = here->file("c" + std::to_string(index) + ".log");
+        const auto log = cluster->file("c" + std::to_string(index) + ".log");
         std::size_t count = 0;
         for (auto at = log.find(event); at != std::string::npos;
              at = log.find(event, at + 1))
@@ -238,10 +239,10 @@
                logged(index, "control_stepped_down");
     }
 
-    std::size_t a_leader() const
+    std::size_t find_leader() const
     {
         std::size_t index = 0;
-        while (index + 1 < here->control_count() && led_by(index) == 0)
+        while (index + 1 < cluster->control_count() && led_by(index) == 0)
         {
             ++index;
         }
@@ -251,19 +252,19 @@
     void expect_handed_over(std::size_t index)
     {
         EXPECT_GT(led_by(index), 0U);
-        here->control(index).signal(SIGTERM);
-        const auto ended = here->control(index).wait_exit(stop_bound);
+        cluster->control(index).signal(SIGTERM);
+        const auto ended = cluster->control(index).wait_exit(stop_bound);
         ASSERT_TRUE(ended);
         EXPECT_EQ(ended->code, 0);
         EXPECT_EQ(led_by(index), 0U)
-            << here->file("c" + std::to_string(index) + ".log");
+            << cluster->file("c" + std::to_string(index) + ".log");
     }
 };
 
 TEST_F(stopping_control, hands_its_leadership_over)
 {
     start_control();
-    expect_handed_over(a_leader());
+    expect_handed_over(find_leader());
 }
 
 // An operator's connection on which half a head has come holds the step of the
@@ -271,10 +272,10 @@
 TEST_F(stopping_control, hands_its_leadership_over_beside_a_slow_operator)
 {
     start_control();
-    const auto index = a_leader();
+    const auto index = find_leader();
     asio::io_context context;
     asio::ip::tcp::socket slow(context);
-    slow.connect(parse_endpoint(here->control_operators(index)));
+    slow.connect(parse_endpoint(cluster->control_operators(index)));
     const std::string_view half = "GET /v1/control HTTP/1.1\r\n";
     asio::write(slow, asio::buffer(half));
     std::this_thread::sleep_for(milliseconds(100));
@@ -286,21 +287,21 @@
 TEST_F(stopping_control, is_not_polled_without_a_pause_beside_a_slow_operator)
 {
     start_control();
-    const auto before = here->daemon(0).processor_time();
-    for (std::size_t i = 0; i < here->control_count(); ++i)
+    const auto before = cluster->daemon(0).processor_time();
+    for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
         asio::io_context context;
         asio::ip::tcp::socket slow(context);
-        slow.connect(parse_endpoint(here->control_operators(i)));
+        slow.connect(parse_endpoint(cluster->control_operators(i)));
         const std::string_view half = "GET /v1/control HTTP/1.1\r\n";
         asio::write(slow, asio::buffer(half));
         std::this_thread::sleep_for(milliseconds(100));
-        here->control(i).signal(SIGTERM);
-        ASSERT_TRUE(here->control(i).wait_exit(stop_bound));
-        ASSERT_TRUE(here->restart_control(i));
-        ASSERT_TRUE(here->wait_served(offered_view(1)));
+        cluster->control(i).signal(SIGTERM);
+        ASSERT_TRUE(cluster->control(i).wait_exit(stop_bound));
+        ASSERT_TRUE(cluster->restart_control(i));
+        ASSERT_TRUE(cluster->wait_served(offered_view(1)));
     }
-    EXPECT_LT(here->daemon(0).processor_time() - before, milliseconds(1000));
+    EXPECT_LT(cluster->daemon(0).processor_time() - before, milliseconds(1000));
 }
 
 } // namespace
--- a/testing/whole_answer_test.cpp
+++ b/testing/whole_answer_test.cpp
@@ -28,15 +28,16 @@
 
     void control_all(const std::string& behavior) const
     {
-        for (std::size_t i = 0; i < here->daemon_count(); ++i)
+        for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
         {
-            here->control_upstream(i, behavior);
+            cluster->control_upstream(i, behavior);
         }
     }
 
     void expect_own_answers(const std::vector<load_record>& records) const
     {
-        EXPECT_EQ(count_view(records, caller_view::wrong), 0U) << here->logs();
+        EXPECT_EQ(count_outcome(records, caller_outcome::wrong), 0U)
+            << cluster->logs();
     }
 };
 
@@ -48,10 +49,11 @@
     options.poisson = false;
     const auto records = run_load(options);
     ASSERT_GE(records.size(), 2U);
-    EXPECT_EQ(count_view(records, caller_view::completed), records.size());
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    EXPECT_EQ(
+        count_outcome(records, caller_outcome::completed), records.size());
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
-        EXPECT_LT(here->daemon(i).peak_memory_kib(), memory_bound_kib);
+        EXPECT_LT(cluster->daemon(i).peak_memory_kib(), memory_bound_kib);
     }
 }
 
@@ -65,7 +67,7 @@
     upload.rank = 3;
     upload.bulk = true;
     upload.latency_ms = 30'000;
-    ASSERT_TRUE(here->declare({upload}));
+    ASSERT_TRUE(cluster->declare({upload}));
     auto offered = offered_statement(1);
     offered.method = "PUT";
     offered.target = "/statements/dossier";
@@ -73,11 +75,11 @@
     offered.answer_bytes = 64;
     auto options = load({offered}, 1);
     const auto record = run_one(options);
-    EXPECT_EQ(record.view, caller_view::completed)
+    EXPECT_EQ(record.outcome, caller_outcome::completed)
         << record.status << ' ' << record.reason;
-    for (std::size_t i = 0; i < here->daemon_count(); ++i)
+    for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
     {
-        EXPECT_LT(here->daemon(i).peak_memory_kib(), memory_bound_kib);
+        EXPECT_LT(cluster->daemon(i).peak_memory_kib(), memory_bound_kib);
     }
 }
 
@@ -88,8 +90,8 @@
     options.max_tries = 1;
     const auto records = run_load(options);
     expect_own_answers(records);
-    EXPECT_GT(count_view(records, caller_view::completed), 0U);
-    EXPECT_GT(count_view(records, caller_view::unknown), 0U);
+    EXPECT_GT(count_outcome(records, caller_outcome::completed), 0U);
+    EXPECT_GT(count_outcome(records, caller_outcome::unknown), 0U);
 }
 
 TEST_F(whole_answers, late_answers_do_not_reach_another_caller)
@@ -102,7 +104,7 @@
     options.retries = client_retries::at_once;
     const auto records = run_load(options);
     expect_own_answers(records);
-    EXPECT_GT(count_view(records, caller_view::completed), 0U);
+    EXPECT_GT(count_outcome(records, caller_outcome::completed), 0U);
 }
 
 TEST_F(whole_answers, connections_to_upstreams_cut_while_answers_stream)
@@ -113,9 +115,9 @@
     for (int round = 0; round < 4; ++round)
     {
         EXPECT_TRUE(wait_started("statements", 5));
-        for (std::size_t i = 0; i < here->daemon_count(); ++i)
+        for (std::size_t i = 0; i < cluster->daemon_count(); ++i)
         {
-            here->upstream_relay(i).cut();
+            cluster->upstream_relay(i).cut();
         }
     }
     const auto records = running.get();
@@ -129,12 +131,12 @@
     statement.answer_bytes = 3'000'000;
     auto running = run_beside(load({offered_view(100), statement}, 3));
     EXPECT_TRUE(wait_started("statements", 5));
-    here->daemon(3).kill();
+    cluster->daemon(3).kill();
     EXPECT_TRUE(wait_started("statements", 5));
-    here->daemon(1).kill();
+    cluster->daemon(1).kill();
     const auto records = running.get();
     expect_own_answers(records);
-    EXPECT_GT(count_view(records, caller_view::completed), 0U);
+    EXPECT_GT(count_outcome(records, caller_outcome::completed), 0U);
 }
 
 } // namespace
