--- a/testing/address_block.hpp
+++ b/testing/address_block.hpp
@@ -11,9 +11,9 @@
 namespace nutmegusher::test_support
 {
 
-// 250 addresses 127.a.b.1 to 127.a.b.250, all ports of which belong to the
-// holder. The block is reserved by a listening socket on 127.a.b.254, so that
-// tests that run side by side can't race for a port.
+// 250 addresses 127.a.b.1 to 127.a.b.250 with all their ports. A listening
+// socket on 127.a.b.254 reserves the block, so that tests that run in parallel
+// don't compete for ports.
 class address_block
 {
 public:
--- a/testing/association.hpp
+++ b/testing/association.hpp
@@ -1,4 +1,5 @@
-// The Association's classes, and their load, for proofs and benches.
+// The classes of the users' association and their load, for end-to-end tests
+// and benchmarks.
 #ifndef NUTMEGUSHER_TESTING_ASSOCIATION_HPP
 #define NUTMEGUSHER_TESTING_ASSOCIATION_HPP
 
--- a/testing/async_http_client.hpp
+++ b/testing/async_http_client.hpp
@@ -1,4 +1,5 @@
-// The client as coroutines on a caller's io_context, with kept connections.
+// Coroutine HTTP client on the caller's io_context, with a pool of idle
+// connections.
 #ifndef NUTMEGUSHER_TESTING_ASYNC_HTTP_CLIENT_HPP
 #define NUTMEGUSHER_TESTING_ASYNC_HTTP_CLIENT_HPP
 
@@ -25,7 +26,7 @@
     async_http_client(const async_http_client&) = delete;
     async_http_client& operator=(const async_http_client&) = delete;
 
-    // Sends on a kept connection where there is one. Requires: `request`
+    // Reuses an idle connection if there is one. Requires: `request`
     // outlives the call.
     boost::asio::awaitable<http_result> call(
         tcp_endpoint to,
--- a/testing/at_most_once_test.cpp
+++ b/testing/at_most_once_test.cpp
@@ -1,4 +1,5 @@
-// A payout runs at most once, whatever fails, and "not run" is true.
+// A payout must run at most once under any fault, and a call reported as "not
+// run" must not have run.
 #include "testing/proof_fixture.hpp"
 
 #include <thread>
@@ -26,7 +27,7 @@
         start(options, association_classes(), {offered_payout(1)});
     }
 
-    // Asks again for what wasn't settled, with the same keys.
+    // Resends the requests with unknown outcomes, with the same keys.
     void resolve(std::vector<load_record>& records) const
     {
         for (auto& record : records)
@@ -87,8 +88,8 @@
     for (auto& each : racing)
     {
         const auto records = each.get();
-        // Of three callers with one key, one's "not run" doesn't speak for
-        // the others' tries.
+        // Three callers share each key, and a "not run" holds for one caller's
+        // tries only, so the check counts executions.
         for (const auto& [token, count] :
              cluster->executions_by_token("disbursement"))
         {
@@ -211,7 +212,7 @@
     const auto first = running.get();
     expect_no_violation(first);
     expect_completed(first, 0.5);
-    // Every key comes once more: the claims outlived all of this.
+    // Resends every key: the claims must have survived the faults.
     const auto second = run_load(options);
     expect_no_violation(second);
     expect_completed(second, 0.5);
--- a/testing/configuration_test.cpp
+++ b/testing/configuration_test.cpp
@@ -1,5 +1,4 @@
-// A configuration that operators saw accepted is in force everywhere and never
-// reverts.
+// An accepted configuration must come into force everywhere and never revert.
 #include "testing/proof_fixture.hpp"
 
 #include <atomic>
@@ -30,7 +29,7 @@
         proof::TearDown();
     }
 
-    // Sets the view's target; `based_on` follows from the answers seen.
+    // Sets the view class's target, based on the last known revision.
     change_answer set_view_target(std::uint32_t latency_ms)
     {
         const auto id = "change-" + std::to_string(++changes);
@@ -44,7 +43,7 @@
         return answer;
     }
 
-    // Learns the view's revision from a conflict.
+    // Reads the view class's revision from a conflict.
     void learn_view_revision()
     {
         const auto conflict = settle_change(
@@ -73,8 +72,8 @@
         return true;
     }
 
-    // From now on asks each daemon again and again and notes a step back. A
-    // daemon that starts has nothing yet: revision 0 isn't a step back.
+    // Starts to poll each daemon and to count reversions to earlier revisions.
+    // A starting daemon reports revision 0, which doesn't count.
     void start_watch()
     {
         watching = true;
@@ -231,7 +230,7 @@
         EXPECT_EQ(again.outcome, change_outcome::accepted);
         EXPECT_EQ(again.revision, first.revision);
     }
-    // The id with another content isn't the same change.
+    // The same id with different content must not be accepted.
     const auto other = settle_change(
         reachable, target_change("once", view_revision, "view", 1501));
     EXPECT_NE(other.outcome, change_outcome::accepted);
@@ -312,7 +311,7 @@
     EXPECT_NE(lost.outcome, change_outcome::accepted);
     expect_completed(run_load(load({offered_view(50)}, 1)), 0.99);
     ASSERT_TRUE(cluster->restart_control(0));
-    // Not accepted isn't refused: the operator sends it again.
+    // The change wasn't refused either, so the operator may resend it.
     const auto again = settle_change(cluster->all_control_operators(), change);
     ASSERT_EQ(again.outcome, change_outcome::accepted);
     EXPECT_TRUE(in_force_everywhere(9100)) << cluster->logs();
--- a/testing/configuration_watch.cpp
+++ b/testing/configuration_watch.cpp
@@ -154,8 +154,8 @@
         const auto in_force = [&, last = revision, wanted = latency]
         {
             const auto now = configuration_of(target_.daemon_operators(i));
-            // A change whose answer was lost may have come after the last one
-            // that an operator saw accepted.
+            // A change whose answer was lost may follow the last one that was
+            // reported as accepted.
             return now && now->revision >= last &&
                    (now->revision > last ||
                     now->targets.at(class_name_) == wanted);
--- a/testing/configuration_watch.hpp
+++ b/testing/configuration_watch.hpp
@@ -1,5 +1,5 @@
-// Operators who race each other and resend, and a check of what became of
-// every change that they saw accepted.
+// Concurrent operators that resend changes, and a check that every change
+// reported as accepted stays in force.
 #ifndef NUTMEGUSHER_TESTING_CONFIGURATION_WATCH_HPP
 #define NUTMEGUSHER_TESTING_CONFIGURATION_WATCH_HPP
 
@@ -16,8 +16,8 @@
 namespace nutmegusher::test_support
 {
 
-// Changes one class's target from several operators at once while it runs, and
-// asks all daemons again and again for their revision.
+// While it runs, several operators change one class's target concurrently, and
+// all daemons are polled for their revision.
 class configuration_watch
 {
 public:
@@ -37,9 +37,10 @@
     [[nodiscard]] std::uint64_t conflicts() const;
     [[nodiscard]] std::uint64_t observations() const;
 
-    // After `stop` and when all is mended: an empty text, or what is wrong: a
-    // step back of a daemon, two changes accepted at one revision, or a
-    // daemon that doesn't come to run the last accepted target.
+    // Returns an empty text, or the problems: a daemon whose revision went
+    // back, two changes accepted at one revision, or a daemon that doesn't run
+    // the last accepted target in time. Requires: `stop` was called and all
+    // faults are repaired.
     [[nodiscard]] std::string find_problems() const;
 
 private:
--- a/testing/demonstration.cpp
+++ b/testing/demonstration.cpp
@@ -1,7 +1,7 @@
-// A deployment on loopback, shown step by step: three control hosts, daemons
-// beside stand-in upstreams of two services, of which one calls the other.
+// Demonstrates a deployment on loopback step by step: three control hosts and
+// daemons with stand-in upstreams of two services, one calling the other.
 //
-// Exit code 0: every step came out as it says; 1: one didn't.
+// Exit code 0: every step passed; 1: a step failed.
 #include "testing/testing.hpp"
 
 #include <boost/json.hpp>
@@ -18,7 +18,7 @@
 constexpr std::uint64_t unknown_revision = 999'999;
 constexpr double min_completed_share = 0.9;
 
-// Prints a step and remembers whether all went well.
+// Prints steps and checks, and records whether all checks passed.
 class report
 {
 public:
@@ -165,7 +165,7 @@
     auto counts = cluster.executions_by_token("disbursement");
     for (const auto& [token, count] : cluster.executions_by_token("balances"))
     {
-        // Views of their own; sub-calls bear the payout's token.
+        // Only the views' own calls; sub-calls carry the payout's token.
         counts.emplace(token, count);
     }
     const auto violations = ts::check_executions(records, counts);
--- a/testing/deployment.cpp
+++ b/testing/deployment.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-// The end of a log; the beginning of a long one rarely matters.
+// The end of a log; the start of a long one rarely matters.
 std::string tail(const std::string& text)
 {
     constexpr std::size_t max_shown = 3000;
@@ -65,7 +65,7 @@
     process_list controls;
     process_list daemons;
     process_list upstreams;
-    // Those that were started again.
+    // Crashes of processes that were restarted since.
     std::vector<std::string> crashes;
 };
 
--- a/testing/deployment.hpp
+++ b/testing/deployment.hpp
@@ -1,5 +1,5 @@
-// A whole deployment as processes on loopback: control hosts, and a daemon
-// beside each stand-in upstream.
+// A deployment of processes on loopback: control hosts, and a daemon for each
+// stand-in upstream.
 //
 //     auto here = deployment::start({.upstreams = {{"disbursement"}}});
 //     (*here)->declare(association_classes()); // association.hpp
@@ -24,12 +24,12 @@
 namespace nutmegusher::test_support
 {
 
-// A daemon and the upstream beside it.
+// A daemon and its local upstream.
 struct deployed_upstream
 {
     // Empty: a daemon without an upstream.
     std::string service;
-    // As for POST /stand-in/control.
+    // JSON as for POST /stand-in/control.
     std::string behavior = "{}";
     std::string data_center = "dc-1";
 };
@@ -38,25 +38,25 @@
 {
     std::uint32_t control_hosts = 3;
     std::vector<deployed_upstream> upstreams;
-    // Naive decisions, as a baseline.
+    // Baseline mode of the daemons (`naive = yes`).
     bool naive = false;
     // Each daemon reaches its upstream through a relay.
     bool relay_to_upstreams = false;
-    // Daemons that stop accept connections for so long.
+    // How long stopping daemons still accept connections; 0: the default.
     std::uint32_t accept_ms = 0;
-    // When control hosts are killed after the signal; 0: the default.
+    // Time from the stop signal to the kill of a control host; 0: the default.
     std::uint32_t control_killed_after_ms = 0;
     // Threads of each daemon.
     std::uint32_t threads = 2;
-    // A relay stands before each control host.
+    // Each control host is reached through a relay.
     bool relay_to_control = false;
 };
 
-// All processes end with the value.
+// All processes are killed on destruction.
 class deployment
 {
 public:
-    // Starts all processes; doesn't wait for them.
+    // Starts all processes; doesn't wait until they serve.
     [[nodiscard]] static outcome<
         std::unique_ptr<deployment>,
         boost::system::error_code>
@@ -73,15 +73,15 @@
     [[nodiscard]] child_process& daemon(std::size_t index);
     [[nodiscard]] child_process& upstream(std::size_t index);
 
-    // Names of the processes that ended by themselves, up to now.
+    // Names of the processes that have crashed since the last call.
     [[nodiscard]] std::vector<std::string> crashes();
 
-    // Start again what has ended, on the same settings and folders.
+    // Restart a process with the same settings and folders.
     bool restart_control(std::size_t index);
     bool restart_daemon(std::size_t index);
     bool restart_upstream(std::size_t index);
 
-    // Removes the data folder. Requires: the process has ended.
+    // Removes the data folder. Requires: the process has exited.
     void remove_control_data(std::size_t index);
 
     [[nodiscard]] std::string control_operators(std::size_t index) const;
@@ -94,26 +94,26 @@
     // Requires: `relay_to_upstreams`.
     [[nodiscard]] relay& upstream_relay(std::size_t index);
 
-    // Cuts a control host off silently from all others and from the daemons,
-    // or joins it again. Requires: `relay_to_control`.
+    // Silently drops, or forwards again, all traffic between a control host
+    // and all other hosts. Requires: `relay_to_control`.
     void isolate_control(std::size_t index, bool isolated);
 
-    // Cuts a control host off silently from the other control hosts only;
-    // daemons still reach all. Requires: `relay_to_control`.
+    // Silently drops, or forwards again, the traffic between a control host
+    // and the other control hosts; daemons still reach all. Requires: `relay_to_control`.
     void partition_control(std::size_t index, bool partitioned);
 
     // Declares the classes and waits until every daemon runs them and knows
-    // its own upstream. False where it doesn't happen.
+    // its own upstream. False after a time limit.
     [[nodiscard]] bool declare(const std::vector<declared_class>& classes);
 
-    // Until every running daemon runs `revision` or a later one; false where
-    // one crashed.
+    // Waits until every running daemon runs `revision` or a later one; false
+    // if one crashed or `limit` has passed.
     [[nodiscard]] bool wait_in_force(
         std::uint64_t revision,
         std::chrono::milliseconds limit = std::chrono::seconds(30)) const;
 
-    // Until a call of the class through each running daemon is completed; false
-    // where one crashed.
+    // Waits until a call of the class completes through each running daemon;
+    // false if one crashed or after 30 s each.
     [[nodiscard]] bool wait_served(const offered_class& offered) const;
 
     void control_upstream(std::size_t index, const std::string& behavior) const;
@@ -135,8 +135,8 @@
 
     explicit deployment(std::unique_ptr<state> state);
 
-    // False where a daemon crashed or didn't come to hold it within `limit`;
-    // one that was ended is left out.
+    // False if a daemon crashed or didn't meet the condition within `limit`;
+    // stopped daemons are skipped.
     [[nodiscard]] bool wait_for_each_daemon(
         const std::function<bool(std::size_t)>& condition,
         std::chrono::milliseconds limit) const;
--- a/testing/deployment_plan.hpp
+++ b/testing/deployment_plan.hpp
@@ -11,7 +11,7 @@
 namespace nutmegusher::test_support::internal
 {
 
-// Where the relay before a control host stands.
+// Addresses of the relay in front of a control host.
 struct control_relay_addresses
 {
     std::string listen;
@@ -36,7 +36,7 @@
     [[nodiscard]] std::string daemon_upstream(std::size_t index) const;
     [[nodiscard]] std::string upstream_address(std::size_t index) const;
     [[nodiscard]] std::string upstream_relay(std::size_t index) const;
-    // The relay's address where there is one.
+    // The relay's address if there is a relay, else the upstream's.
     [[nodiscard]] std::string announced_address(std::size_t index) const;
 
     [[nodiscard]] std::size_t relayed_upstreams() const;
@@ -48,7 +48,7 @@
 
 private:
     [[nodiscard]] std::string control_peers(std::size_t index) const;
-    // A control host as others reach it.
+    // The address under which other hosts reach a control host.
     [[nodiscard]] std::string control_address(std::size_t index) const;
     [[nodiscard]] std::string control_addresses() const;
 
--- a/testing/endpoint.hpp
+++ b/testing/endpoint.hpp
@@ -1,4 +1,4 @@
-// "ip:port" texts as Asio's endpoints.
+// Converts "ip:port" to Asio endpoints.
 #ifndef NUTMEGUSHER_TESTING_ENDPOINT_HPP
 #define NUTMEGUSHER_TESTING_ENDPOINT_HPP
 
--- a/testing/execution_log.cpp
+++ b/testing/execution_log.cpp
@@ -51,7 +51,7 @@
     execution_identity identity;
 };
 
-// Lines are "mark\tkey\ttoken\trequest"; one without its end is left out.
+// Lines are "mark\tkey\ttoken\trequest"; an incomplete last line is skipped.
 template <class Visit>
 void for_each_line(const std::string& journal, Visit visit)
 {
--- a/testing/execution_log.hpp
+++ b/testing/execution_log.hpp
@@ -1,5 +1,5 @@
-// What a stand-in upstream has run, by key and by token: the truth that the
-// oracles hold callers' answers against.
+// Counts a stand-in upstream's executions by key and by token. The oracle
+// checks callers' answers against them.
 #ifndef NUTMEGUSHER_TESTING_EXECUTION_LOG_HPP
 #define NUTMEGUSHER_TESTING_EXECUTION_LOG_HPP
 
@@ -15,12 +15,12 @@
 namespace nutmegusher::test_support
 {
 
-// Whose call it was; empty where the call brought none.
+// Identifies a call; members that the call doesn't carry are empty.
 struct execution_identity
 {
     // "customer/class/idempotency key".
     std::string key;
-    // The caller's own mark, header `x-token`.
+    // The caller's token, header `x-token`.
     std::string token;
     // Header `nutmeg-request-id`.
     std::string request;
@@ -35,7 +35,7 @@
 using execution_counts = std::map<std::string, execution_count, std::less<>>;
 
 // Counts the starts and ends of executions; with a journal the counts survive
-// the process being killed. Thread-safe.
+// a kill of the process. Thread-safe.
 class execution_log
 {
 public:
--- a/testing/fault_injector.hpp
+++ b/testing/fault_injector.hpp
@@ -1,4 +1,5 @@
-// Random failures of a deployment's processes and connections, by seed.
+// Injects random faults into a deployment's processes and connections,
+// reproducibly by seed.
 #ifndef NUTMEGUSHER_TESTING_FAULT_INJECTOR_HPP
 #define NUTMEGUSHER_TESTING_FAULT_INJECTOR_HPP
 
@@ -12,21 +13,21 @@
 namespace nutmegusher::test_support
 {
 
-// Breaks one thing at a time or two, and mends each after a while. At most a
-// minority of the control hosts is broken at any moment, and data folders
-// stay; more is a matter for focused tests.
+// Keeps up to two faults active and repairs each after a few steps. At most a
+// minority of the control hosts is faulty at any moment, and data folders are
+// kept; focused tests cover more severe faults.
 class fault_injector
 {
 public:
     fault_injector(deployment& target, std::uint64_t seed);
 
-    // Breaks or mends something. Call it every few hundred ms.
+    // Repairs expired faults and may inject one. Call it every few hundred ms.
     void step();
 
-    // Mends all that is broken.
+    // Repairs all active faults.
     void repair_all();
 
-    // How many failures of each kind were brought about.
+    // Number of injected faults by kind.
     [[nodiscard]] const std::map<std::string, std::uint64_t>& injected() const
     {
         return injected_;
--- a/testing/fuzz/messages_fuzz.cpp
+++ b/testing/fuzz/messages_fuzz.cpp
@@ -1,5 +1,5 @@
-// Whatever bytes arrive as one of our messages, decoding ends in a message or
-// in a refusal, and what was decoded encodes to something that decodes again.
+// Decodes arbitrary bytes as each of the messages. Decoding must succeed or
+// fail cleanly, and a decoded message must survive a round trip.
 #include "nutmegusher/messages/configuration.pb.h"
 #include "nutmegusher/messages/execution.pb.h"
 #include "nutmegusher/messages/replication.pb.h"
--- a/testing/fuzz/wire_server_fuzz.cpp
+++ b/testing/fuzz/wire_server_fuzz.cpp
@@ -1,5 +1,5 @@
-// Whatever bytes a peer sends, the server of streams neither crashes nor
-// keeps the connection after the peer has closed it.
+// For arbitrary bytes from a peer, the HTTP/2 server must neither crash nor
+// keep the connection after the peer has closed it.
 #include "nutmegusher/wire/wire.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// Fits into the socket's buffers, so that the write doesn't wait.
+// Fits into the socket's buffers, so that the write doesn't block.
 constexpr std::size_t max_input = 32 * 1024;
 
 constexpr std::string_view preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
@@ -45,8 +45,8 @@
 
 } // namespace
 
-// The first byte says whether the greeting of a client goes before the rest.
-// The name is libFuzzer's.
+// The first byte decides whether the client's preface and settings precede the
+// rest. libFuzzer prescribes the function's name.
 // NOLINTBEGIN(readability-identifier-naming)
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
--- a/testing/http_client.cpp
+++ b/testing/http_client.cpp
@@ -100,7 +100,7 @@
     {
     }
 
-    // Reads one answer; sets `reusable` where the connection can be used again.
+    // Reads one answer; sets `reusable` if the connection can be used again.
     asio::awaitable<http_result> read_answer(bool& reusable);
 
     beast::tcp_stream stream;
@@ -193,7 +193,8 @@
     {
         co_return http_failure::timed_out;
     }
-    // A refusal may come before the whole request was read: read it anyway.
+    // The peer may refuse before it has read the whole request, so the answer
+    // is read even after a failed write.
     bool reusable = false;
     auto result = co_await used->read_answer(reusable);
     if (result.has_value() && reusable && !write_failed)
--- a/testing/http_client.hpp
+++ b/testing/http_client.hpp
@@ -27,13 +27,13 @@
     std::string body;
 };
 
-// Why there is no whole answer.
+// Why there is no complete answer.
 enum class http_failure : std::uint8_t
 {
     connect_failed,  // nothing was sent
-    timed_out,       // sent; no whole answer in time
-    connection_lost, // sent; the connection ended before any answer
-    body_cut         // the answer began and broke off
+    timed_out,       // sent; no complete answer in time
+    connection_lost, // sent; the connection closed before any answer
+    body_cut         // the connection closed within the answer
 };
 
 [[nodiscard]] std::string_view to_text(http_failure failure);
@@ -47,7 +47,7 @@
     std::uint64_t body_size = 0;
     std::uint64_t body_digest = 0;
 
-    // The header's value, or nothing; any case of the name will do.
+    // The header's value, or an empty text. Names are case-insensitive.
     [[nodiscard]] std::string_view header(std::string_view name) const;
 };
 
--- a/testing/hunt.cpp
+++ b/testing/hunt.cpp
@@ -1,9 +1,9 @@
-// A long search for violations on running processes: random failures, load
-// with keys, operators who race; an oracle over all of it at the end.
+// Long randomized search for violations on running processes: random faults,
+// load with idempotency keys and concurrent operators, checked by an oracle.
 //
 //     hunt SECONDS SEED
 //
-// Exit code 0: no violation; 1: a violation; 2: it couldn't run.
+// Exit code 0: no violation; 1: a violation; 2: the run couldn't start.
 #include "testing/configuration_watch.hpp"
 #include "testing/fault_injector.hpp"
 #include "testing/testing.hpp"
@@ -50,7 +50,7 @@
     return options;
 }
 
-// One round of load while the injector breaks things.
+// Runs one round of load while faults are injected.
 std::vector<ts::load_record> run_round(
     const ts::deployment& cluster,
     ts::fault_injector& faults,
--- a/testing/leaving_test.cpp
+++ b/testing/leaving_test.cpp
@@ -1,4 +1,5 @@
-// Leaving upstreams get no new work, and a planned stop cuts nothing off.
+// Leaving upstreams must get no new calls, and a planned stop must not
+// interrupt any.
 #include "testing/proof_fixture.hpp"
 
 #include <csignal>
@@ -12,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// "After a few seconds", as the brief says.
+// The requirement is "after a few seconds".
 constexpr seconds leaving_bound(4);
 constexpr seconds stop_bound(30);
 
@@ -34,7 +35,7 @@
             {offered_payout(1), offered_view(1)});
     }
 
-    // What one upstream has started up to now.
+    // The number of calls that one upstream has started.
     std::uint32_t started_at(std::size_t index) const
     {
         std::uint32_t started = 0;
@@ -47,7 +48,7 @@
         return started;
     }
 
-    // Load through the daemons that stay.
+    // Load through the given daemons.
     load_options
     load_through(const std::vector<std::size_t>& daemons, double seconds) const
     {
@@ -110,7 +111,7 @@
 
 TEST_F(leaving, callers_of_a_stopped_daemon_get_their_answers)
 {
-    // Longer than any fixed pause of a shutdown could cover.
+    // Longer than a fixed delay in the shutdown would cover.
     cluster->control_upstream(2, R"({"service_ms": 4000})");
     cluster->control_upstream(3, R"({"service_ms": 4000})");
     auto patient = offered_view(50);
@@ -166,8 +167,8 @@
     expect_all_completed(records);
 }
 
-// The only upstream of its service: while its daemon waits for callers to hear
-// of the stop, calls of other daemons run on it.
+// The stopping daemon has the only upstream of its service. Until callers have
+// received notice of the stop, it must still run calls of other daemons.
 TEST_F(proof, a_stopping_daemon_serves_other_daemons_for_a_while)
 {
     deployment_options options;
--- a/testing/load_client.cpp
+++ b/testing/load_client.cpp
@@ -90,7 +90,7 @@
     {
         request.headers.push_back({"idempotency-key", record.key});
     }
-    // The body is the key's, so that a retry is the same request.
+    // Generated from the token, so that a retry has the same body.
     request.body.resize(offered.body_bytes);
     fill_pattern(record.token, 0, request.body);
     return request;
@@ -106,8 +106,8 @@
                pattern_digest(record.token, offered.answer_bytes);
 }
 
-// Notes what one try brought; `worst` keeps an earlier "unknown" alive,
-// because a later "not run" speaks for the later try only.
+// Records the result of one try. A later "not run" doesn't replace an earlier
+// "unknown", because it holds for the later try only.
 void record_try(
     const http_result& result,
     const offered_class& offered,
@@ -156,7 +156,7 @@
     return std::min(std::chrono::milliseconds(value), max_retry_delay);
 }
 
-// All state of one run; single thread.
+// State of one load run. Not thread-safe.
 class load_run
 {
 public:
@@ -256,8 +256,8 @@
 
     const load_options& options_;
     random_engine random_;
-    // Of its own: the same requests come from the same customers, however long
-    // the load is planned for.
+    // A separate generator, so that requests come from the same customers
+    // whatever the planned length of the load.
     random_engine customer_random_;
     asio::io_context context_{1};
     async_http_client client_{context_};
@@ -265,7 +265,7 @@
     std::size_t next_daemon_ = 0;
     time_point started_{};
     std::vector<load_record> records_;
-    // Of the records, those whose requests have arrived.
+    // The number of records whose requests have arrived.
     std::size_t arrived_ = 0;
 };
 
--- a/testing/load_client.hpp
+++ b/testing/load_client.hpp
@@ -1,8 +1,8 @@
-// Callers: open-loop load on daemons, with every answer checked.
+// Open-loop load on daemons, with every answer checked.
 //
-// Arrivals don't wait for answers, as members and clerks don't. Every request
-// has a token from which the answer's bytes follow, so that a part of an
-// answer or somebody else's is found.
+// Arrivals don't wait for answers, as members and clerks don't. The answer's
+// bytes are generated from the request's token, so that a truncated answer or
+// another caller's is detected.
 #ifndef NUTMEGUSHER_TESTING_LOAD_CLIENT_HPP
 #define NUTMEGUSHER_TESTING_LOAD_CLIENT_HPP
 
@@ -26,16 +26,16 @@
     std::string target = "/";
     // Arrivals a second.
     double rate = 10.0;
-    // Not zero: after `surge_from` and for `surge_for`, the rate times this.
+    // Not zero: multiplies the rate from `surge_from` on for `surge_for`.
     double surge_factor = 0.0;
     std::chrono::milliseconds surge_from{0};
     std::chrono::milliseconds surge_for{0};
-    // Brings an idempotency key, which retries repeat.
+    // Sends an idempotency key, the same for all tries of a request.
     bool keyed = false;
     std::uint32_t customers = 10;
     std::uint64_t body_bytes = 0;
     std::uint64_t answer_bytes = 64;
-    // Negative: the upstream's own.
+    // Negative: the upstream's default.
     double service_ms = -1.0;
     std::chrono::milliseconds timeout{5000};
 };
@@ -43,7 +43,7 @@
 enum class client_retries : std::uint8_t
 {
     none,
-    at_once,         // hard, whatever the answer says
+    at_once,         // at once, regardless of the answer
     as_answer_allows // after the answer's `retry-after`
 };
 
@@ -53,28 +53,27 @@
     std::vector<std::string> daemons;
     std::vector<offered_class> classes;
     std::chrono::milliseconds length{1000};
-    // Longer than `length`: the load goes on until `stop` is requested or this
-    // has passed, so that what a test does beside it has load however slowly
-    // it gets on.
+    // If longer than `length`, the load continues until `stop` is requested or
+    // this has passed, so that a slow test has load throughout.
     std::chrono::milliseconds max_length{0};
     std::stop_token stop;
     bool poisson = true;
     client_retries retries = client_retries::none;
     std::uint32_t max_tries = 1;
     std::uint64_t seed = 1;
-    // Arrivals after as many are dropped.
+    // Further arrivals are dropped.
     std::uint64_t max_requests = 1'000'000;
-    // Goes into tokens and keys, so that two loads don't meet.
+    // Prefix of tokens and keys, which keeps concurrent loads distinct.
     std::string prefix = "load";
 };
 
-// What the caller knows at the end.
+// The outcome of a request as its caller knows it.
 enum class caller_outcome : std::uint8_t
 {
-    completed, // a whole answer of the upstream's
-    not_run,   // every try was told "not run"
-    unknown,   // told "unknown", or lost after it was sent
-    wrong      // a clean answer whose bytes are not the request's
+    completed, // a complete answer of the upstream
+    not_run,   // every try was reported as not run
+    unknown,   // reported as unknown, or lost after it was sent
+    wrong      // a complete answer with the wrong bytes
 };
 
 [[nodiscard]] std::string_view to_text(caller_outcome outcome);
@@ -101,10 +100,10 @@
 // Runs the load to its end and returns the records in order of arrival.
 [[nodiscard]] std::vector<load_record> run_load(const load_options& options);
 
-// One call of a class, with its retries; for single steps of a proof.
+// One call of a class, with its retries.
 [[nodiscard]] load_record run_one(const load_options& options);
 
-// A table by class, for people.
+// A human-readable table by class.
 [[nodiscard]] std::string
 to_table(const std::vector<load_record>& records, const load_options& options);
 
@@ -112,7 +111,7 @@
 [[nodiscard]] std::string
 to_json(const std::vector<load_record>& records, const load_options& options);
 
-// "arrival_us,class,customer,service_us" lines, for the replays.
+// "arrival_us,class,customer,service_us" lines, for replays.
 [[nodiscard]] std::string to_trace(const std::vector<load_record>& records);
 
 } // namespace nutmegusher::test_support
--- a/testing/load_report.cpp
+++ b/testing/load_report.cpp
@@ -1,4 +1,4 @@
-// The reports of a load: table, JSON and trace.
+// Formats load records as a table, JSON or a trace.
 #include "testing/load_client.hpp"
 
 #include <boost/json.hpp>
--- a/testing/load_tool.cpp
+++ b/testing/load_tool.cpp
@@ -1,4 +1,4 @@
-// Open-loop load on daemons from the command line.
+// Command-line tool that puts open-loop load on daemons.
 //
 //     load_tool --daemons 127.1.0.1:8000 --seconds 5
 //         --class
@@ -155,7 +155,7 @@
 {
     ts::load_options options;
     options.daemons = parsed["daemons"].as<std::vector<std::string>>();
-    // cxxopts splits lists at commas, so classes are taken one by one.
+    // cxxopts splits lists at commas, so each class is parsed by itself.
     for (const auto& argument : parsed.arguments())
     {
         if (argument.key() == "class")
--- a/testing/operator_client.hpp
+++ b/testing/operator_client.hpp
@@ -1,4 +1,5 @@
-// An operator: declares classes, sets targets, asks what is in force.
+// Client of the operators' interface: declares classes, sets targets, reads the
+// configuration in force.
 #ifndef NUTMEGUSHER_TESTING_OPERATOR_CLIENT_HPP
 #define NUTMEGUSHER_TESTING_OPERATOR_CLIENT_HPP
 
@@ -14,7 +15,7 @@
 namespace nutmegusher::test_support
 {
 
-// A class as operators declare it.
+// A class declaration.
 struct declared_class
 {
     std::string name;
@@ -34,7 +35,7 @@
     conflict,
     invalid,
     unavailable, // 503: resend with the same id
-    no_answer    // lost: resend with the same id
+    no_answer    // no reply: resend with the same id
 };
 
 struct change_answer
@@ -60,14 +61,14 @@
     const std::string& change,
     std::chrono::milliseconds timeout = std::chrono::seconds(5));
 
-// Sends a change to one control host after the other, always with the same id,
-// until it is accepted or refused for good. `no_answer` after `limit`.
+// Sends a change to the control hosts in turn, always with the same id, until
+// it is accepted or definitely refused. `no_answer` after `limit`.
 [[nodiscard]] change_answer settle_change(
     const std::vector<std::string>& operators_addresses,
     const std::string& change,
     std::chrono::milliseconds limit = std::chrono::seconds(30));
 
-// What a process says that it runs.
+// The configuration that a process reports.
 struct configuration_in_force
 {
     std::uint64_t revision = 0;
--- a/testing/oracle.hpp
+++ b/testing/oracle.hpp
@@ -1,4 +1,5 @@
-// Holds what callers were told against what the upstreams ran.
+// Compares the outcomes that callers received with the executions that the
+// upstreams recorded.
 #ifndef NUTMEGUSHER_TESTING_ORACLE_HPP
 #define NUTMEGUSHER_TESTING_ORACLE_HPP
 
@@ -17,7 +18,7 @@
     ran_twice,         // a keyed call started more than once
     not_run_but_ran,   // told "not run", and started
     completed_not_run, // told "completed", and never finished
-    wrong_answer       // a clean answer that isn't the request's whole own one
+    wrong_answer       // a complete answer with the wrong body
 };
 
 struct violation
@@ -38,7 +39,7 @@
 // Adds `more` to `sum`.
 void add_counts(execution_counts& sum, const execution_counts& more);
 
-// How many records were seen so.
+// The number of records with this outcome.
 [[nodiscard]] std::size_t
 count_outcome(const std::vector<load_record>& records, caller_outcome outcome);
 
--- a/testing/overload_test.cpp
+++ b/testing/overload_test.cpp
@@ -1,4 +1,5 @@
-// Under overload payouts are refused last; retries stay bounded at any depth.
+// Under overload payouts must be refused last, and the retries for one request
+// must stay bounded at every depth of the call path.
 #include "testing/proof_fixture.hpp"
 
 #include <thread>
@@ -30,8 +31,8 @@
     }
 };
 
-// Two upstreams, four slots of 10 ms each: 800 calls a second, and 2.4 times
-// as many are offered.
+// Two upstreams with four slots of 10 ms each complete 800 calls a second;
+// 2.4 times as many are offered.
 class overload : public refusals
 {
 protected:
@@ -44,7 +45,7 @@
         auto view = in_shared_service(offered_view(300));
         auto statement = in_shared_service(offered_statement(1500));
         statement.answer_bytes = 1000;
-        // The same time for all, so that only the rank tells them apart.
+        // The same timeout for all, so that they differ only in rank.
         for (auto* offered : {&payout, &view, &statement})
         {
             offered->timeout = std::chrono::milliseconds(1000);
@@ -77,8 +78,8 @@
     expect_payouts_refused_last(run_load(offered));
 }
 
-// A daemon that is stopped under load took its own pause for its upstream's
-// time, and refused 41 of 612 payouts for a wait that they wouldn't have had.
+// Guards against a daemon that counts its own pause as its upstream's latency:
+// it refused 41 of 612 payouts for a wait that they wouldn't have had.
 TEST_F(overload, payouts_are_refused_last_while_a_daemon_pauses)
 {
     auto running = run_beside(offered);
@@ -89,7 +90,7 @@
     expect_payouts_refused_last(running.get());
 }
 
-// Services hop0 .. hop5; each upstream calls the next hop once for each call.
+// Services hop0 .. hop5; each upstream calls the next service once per call.
 class deep_chain : public refusals
 {
 protected:
@@ -139,7 +140,7 @@
 
 TEST_F(deep_chain, executions_for_one_request_are_bounded_at_every_hop)
 {
-    // One first try, and the retry tokens of the whole request.
+    // The first try and the retry tokens of the whole request.
     constexpr std::uint32_t max_executions = 4;
     cluster->control_upstream(depth - 1, R"({"error_share": 1.0})");
     cluster->control_upstream(depth - 2, R"({"cut_share": 0.7})");
@@ -161,7 +162,7 @@
     options.max_tries = 1;
     const auto records = run_load(options);
     expect_completed(records, 0.9);
-    // A busy machine may cause refusals, which are honest; nothing is lost.
+    // A busy machine may cause refusals, but no lost or wrong answers.
     EXPECT_EQ(count_outcome(records, caller_outcome::unknown), 0U);
     EXPECT_EQ(count_outcome(records, caller_outcome::wrong), 0U);
     for (std::size_t hop = 0; hop < depth; ++hop)
--- a/testing/patterned_body.cpp
+++ b/testing/patterned_body.cpp
@@ -1,4 +1,4 @@
-// The digest's state is a member here, which XXH3 allows only so.
+// XXH3 exposes the size of its state, needed for a member, only with this.
 #define XXH_STATIC_LINKING_ONLY
 #include "testing/patterned_body.hpp"
 
--- a/testing/patterned_body.hpp
+++ b/testing/patterned_body.hpp
@@ -1,5 +1,5 @@
-// Bytes that follow from a token, so that a caller can tell its own whole
-// answer from a part of it and from anybody else's without keeping either.
+// Bodies generated from a token. A caller can check that an answer is complete
+// and its own by digest, without storing the body.
 #ifndef NUTMEGUSHER_TESTING_PATTERNED_BODY_HPP
 #define NUTMEGUSHER_TESTING_PATTERNED_BODY_HPP
 
@@ -16,7 +16,7 @@
 void fill_pattern(
     std::string_view token, std::uint64_t offset, std::span<char> out);
 
-// A 64-bit digest of bytes that come in pieces.
+// Computes a 64-bit digest incrementally.
 class body_digest
 {
 public:
--- a/testing/process.cpp
+++ b/testing/process.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::chrono::milliseconds poll_period(10);
 constexpr mode_t log_mode = 0644;
-// Runs a program that ends with its parent; part of every Debian system.
+// Runs a program that is killed when its parent exits; on every Debian system.
 constexpr const char* setpriv_path = "/usr/bin/setpriv";
 
 error_code system_error(int number)
@@ -34,7 +34,7 @@
     return {number, boost::system::system_category()};
 }
 
-// A line of the kernel's status page of a process.
+// A value of /proc/<id>/status, KiB.
 std::uint64_t status_kib(pid_t id, std::string_view name)
 {
     std::istringstream status(
@@ -106,7 +106,7 @@
         O_WRONLY | O_CREAT | O_APPEND,
         log_mode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // A socket of a stand-in in this process would stay open in the child.
+    // Otherwise the child would inherit sockets of stand-ins in this process.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     pid_t id = 0;
     const int failed = posix_spawn(
@@ -206,7 +206,7 @@
 {
     const std::string text =
         read_file("/proc/" + std::to_string(id_) + "/stat");
-    // The name in brackets may hold blanks; fields 14 and 15 follow it.
+    // The name in parentheses may contain spaces; fields 14 and 15 follow it.
     std::istringstream fields(text.substr(text.rfind(')') + 1));
     constexpr int fields_before_user_time = 11;
     std::string skipped;
--- a/testing/process.hpp
+++ b/testing/process.hpp
@@ -1,4 +1,4 @@
-// A driver of the product's processes: start, signal, wait, read the logs.
+// Process driver: start, signal, wait, read the logs.
 #ifndef NUTMEGUSHER_TESTING_PROCESS_HPP
 #define NUTMEGUSHER_TESTING_PROCESS_HPP
 
@@ -17,7 +17,7 @@
 namespace nutmegusher::test_support
 {
 
-// A folder that is removed with the value.
+// A folder that is removed on destruction.
 class temporary_folder
 {
 public:
@@ -35,17 +35,17 @@
 
 struct process_exit
 {
-    // Exit code, or minus the signal that ended it.
+    // Exit code, or the negative number of the signal that ended it.
     int code = 0;
 };
 
-// A child process; ended (SIGKILL) and reaped at the latest with the value. The
-// kernel ends it too where the thread that started it ends before.
+// A child process, killed and reaped on destruction. The kernel also kills it
+// if the thread that started it exits.
 class child_process
 {
 public:
-    // `arguments` without the program's name. Both outputs are appended to
-    // the file `log`.
+    // `arguments` excludes the program's name. Standard output and standard
+    // error are appended to the file `log`.
     [[nodiscard]] static outcome<
         std::unique_ptr<child_process>,
         boost::system::error_code>
@@ -58,26 +58,26 @@
     child_process(const child_process&) = delete;
     child_process& operator=(const child_process&) = delete;
 
-    // Does nothing where it has ended.
+    // Does nothing if the process has ended.
     void signal(int number);
 
-    // SIGKILL, and waits for the end.
+    // Sends SIGKILL and waits for the exit.
     void kill();
     // SIGSTOP and SIGCONT.
     void freeze();
     void thaw();
 
-    // Empty where it still runs after `limit`.
+    // Empty if it still runs after `limit`.
     std::optional<process_exit> wait_exit(std::chrono::milliseconds limit);
 
     [[nodiscard]] bool running();
-    // Ended by a signal that didn't come from here.
+    // Ended by a signal that this object didn't send.
     [[nodiscard]] bool crashed();
     [[nodiscard]] pid_t id() const;
 
-    // Highest resident memory up to now, KiB; 0 where unknown.
+    // Peak resident memory, KiB; 0 if unknown.
     [[nodiscard]] std::uint64_t peak_memory_kib() const;
-    // Resident memory now, KiB; 0 where unknown.
+    // Current resident memory, KiB; 0 if unknown.
     [[nodiscard]] std::uint64_t resident_memory_kib() const;
     // Processor time used up to now.
     [[nodiscard]] std::chrono::milliseconds processor_time() const;
@@ -90,12 +90,12 @@
     std::optional<process_exit> exit_;
 };
 
-// Asks `condition` again and again until it holds; false after `limit`.
+// Polls `condition` until it is true; false after `limit`.
 [[nodiscard]] bool wait_until(
     const std::function<bool()>& condition,
     std::chrono::milliseconds limit = std::chrono::seconds(30));
 
-// The path of a program of this build, beside the running one.
+// The path of a program in the folder of the running one.
 [[nodiscard]] std::string program_path(std::string_view name);
 
 [[nodiscard]] std::string read_file(const std::string& path);
--- a/testing/proof_fixture.hpp
+++ b/testing/proof_fixture.hpp
@@ -1,4 +1,4 @@
-// What the proofs on running processes share.
+// Fixture of the end-to-end tests on running processes.
 #ifndef NUTMEGUSHER_TESTING_PROOF_FIXTURE_HPP
 #define NUTMEGUSHER_TESTING_PROOF_FIXTURE_HPP
 
@@ -21,7 +21,8 @@
         }
     }
 
-    // A deployment with the classes declared; each of `ready` is served.
+    // Starts a deployment, declares the classes and waits until each of `ready`
+    // is served.
     void start(
         const deployment_options& options,
         const std::vector<declared_class>& classes,
@@ -39,7 +40,7 @@
         }
     }
 
-    // Load on all daemons, each try at the next one.
+    // Load on all daemons; each try goes to the next one.
     [[nodiscard]] load_options
     load(const std::vector<offered_class>& classes, double seconds) const
     {
@@ -58,7 +59,7 @@
         return running_load(options);
     }
 
-    // Until the service's upstreams have started `count` more calls.
+    // Waits until the service's upstreams have started `count` more calls.
     [[nodiscard]] bool
     wait_started(const std::string& service, std::size_t count) const
     {
@@ -71,7 +72,7 @@
             });
     }
 
-    // Requires: upstreams make no sub-calls, which share the token.
+    // Requires: upstreams make no sub-calls, which carry the same token.
     void expect_no_violation(const std::vector<load_record>& records) const
     {
         const auto violations =
--- a/testing/relay.cpp
+++ b/testing/relay.cpp
@@ -31,7 +31,7 @@
 
 constexpr std::size_t chunk_size = 16 * 1024;
 
-// A connection on both sides, with what holds for it.
+// Both sides of a relayed connection and its behavior.
 struct relayed_pair
 {
     explicit relayed_pair(asio::ip::tcp::socket client_socket)
@@ -43,7 +43,7 @@
     void close()
     {
         error_code ignored;
-        // No lingering: the peers see a reset.
+        // Closing with zero linger sends a reset.
         const asio::socket_base::linger reset(true, 0);
         client.set_option(reset, ignored);
         target.set_option(reset, ignored);
@@ -111,7 +111,7 @@
     asio::awaitable<void> accept_connections();
     asio::awaitable<void> connect(pair_pointer pair);
     asio::awaitable<void> pump(pair_pointer pair, bool to_target);
-    // Of the connection's owner where there is one, else `fallback`.
+    // The behavior set for the connection's process, else `fallback`.
     [[nodiscard]] relay_behavior
     behavior_of(const relayed_pair& pair, const relay_behavior& fallback) const;
 
@@ -264,7 +264,7 @@
         {
             if (error)
             {
-                co_return; // Not even the end gets through.
+                co_return; // The close isn't forwarded either.
             }
             continue;
         }
--- a/testing/relay.hpp
+++ b/testing/relay.hpp
@@ -1,9 +1,9 @@
-// A TCP relay that can fail on command.
+// A TCP relay with injectable faults.
 //
 //     auto cut = relay::start(block.address(9, 1000), daemon_address);
 //     (*cut)->set({.to_target = relay_direction::silent});
 //
-// As a program (`relay`) it takes the same as JSON lines on standard input.
+// As a program (`relay`) it reads the same as JSON lines on standard input.
 #ifndef NUTMEGUSHER_TESTING_RELAY_HPP
 #define NUTMEGUSHER_TESTING_RELAY_HPP
 
@@ -30,10 +30,10 @@
 {
     relay_direction to_target = relay_direction::pass;
     relay_direction to_client = relay_direction::pass;
-    // Added before each piece is passed on, in each direction.
+    // Delay before each chunk is forwarded, in each direction.
     std::chrono::milliseconds delay{0};
-    // False: `to_target` and `to_client` hold for the connections that are
-    // open now, and new ones pass.
+    // False: `to_target` and `to_client` apply only to the connections that
+    // are open now.
     bool new_connections_too = true;
     // New connections are closed at once.
     bool refuse_new = false;
@@ -52,14 +52,14 @@
     relay(const relay&) = delete;
     relay& operator=(const relay&) = delete;
 
-    // Holds from the return on, for open connections too.
+    // In effect when it returns, for open connections too.
     void set(const relay_behavior& behavior);
 
-    // The same for the connections that one process opens or has opened; the
-    // process needn't run any more. It goes before `set`.
+    // Sets the behavior of the connections that one process opens or has
+    // opened, also of an exited one. Takes precedence over `set`.
     void set_for_process(pid_t process, const relay_behavior& behavior);
 
-    // Takes `set_for_process` back: the process is like any other again.
+    // Undoes `set_for_process`.
     void clear_process(pid_t process);
 
     // Resets all open connections.
@@ -76,7 +76,8 @@
 };
 
 // {"to_target": "silent", "to_client": "pass", "delay_ms": 5,
-//  "new_connections_too": false, "refuse_new": true}; other members: none.
+//  "new_connections_too": false, "refuse_new": true}
+// Other members are ignored.
 [[nodiscard]] outcome<relay_behavior, boost::system::error_code>
 parse_relay_behavior(std::string_view json);
 
--- a/testing/relay_main.cpp
+++ b/testing/relay_main.cpp
@@ -1,5 +1,5 @@
 // The relay as a program: `relay LISTEN TARGET`; each line on standard input
-// is a behavior as JSON, or "cut". Ends with the input.
+// is a behavior as JSON, or "cut". Exits at the end of the input.
 #include "testing/relay.hpp"
 
 #include <iostream>
@@ -35,7 +35,7 @@
         }
         else
         {
-            std::cerr << "relay: not understood: " << line << '\n';
+            std::cerr << "relay: invalid command: " << line << '\n';
         }
     }
     return 0;
--- a/testing/running_load.hpp
+++ b/testing/running_load.hpp
@@ -1,13 +1,12 @@
-// A load beside what a test does.
+// Runs a load in the background of a test.
 //
 //     running_load running(options);
 //     ...                               // kill, wait for calls, restart
 //     const auto records = running.get();
 //
-// It lasts for `options.length` and then goes on until `get`, so that a step
-// of the test that takes long still finds requests arriving. With a load that
-// ended by itself a test that waits for further calls failed whenever its
-// steps together took longer than the load.
+// The load lasts for `options.length` and then continues until `get`. With a
+// load of fixed length, a test that waits for further calls failed whenever
+// its steps took longer than the load.
 #ifndef NUTMEGUSHER_TESTING_RUNNING_LOAD_HPP
 #define NUTMEGUSHER_TESTING_RUNNING_LOAD_HPP
 
@@ -45,20 +44,21 @@
         stop_.request_stop();
     }
 
-    // Requests arrive until `length` has passed, and no longer.
+    // Stops new requests once `length` has passed.
     void end_after_length()
     {
         stop_.request_stop();
     }
 
-    // Waits until `length` has passed and all answers are there. Once.
+    // Waits until `length` has passed and all answers have arrived.
+    // Requires: not called before.
     [[nodiscard]] std::vector<load_record> get()
     {
         end_after_length();
         return records_.get();
     }
 
-    // A test that hangs ends by then: five waits of 30 s, the bound of each.
+    // Bounds a hanging test: five waits of at most 30 s each.
     static constexpr std::chrono::milliseconds max_length{150'000};
 
 private:
--- a/testing/silence_test.cpp
+++ b/testing/silence_test.cpp
@@ -1,4 +1,5 @@
-// Open connections that go silent for good while new ones work.
+// Requests must complete although open connections silently drop all traffic
+// while new ones work.
 #include "testing/proof_fixture.hpp"
 
 namespace nutmegusher::test_support
@@ -21,7 +22,7 @@
             {offered_payout(1), offered_view(1)});
     }
 
-    // All connections to upstreams that are open now; new ones pass.
+    // Silences all open connections to upstreams; new connections work.
     void silence_open_connections() const
     {
         relay_behavior silent;
--- a/testing/slot_queue.hpp
+++ b/testing/slot_queue.hpp
@@ -11,8 +11,8 @@
 namespace nutmegusher::test_support::internal
 {
 
-// A call as the upstream sees it; the timer is what it waits on, so that a
-// cancellation wakes it at once.
+// A call in the upstream. It waits on the timer, which a cancellation
+// interrupts at once.
 struct running_call
 {
     explicit running_call(const boost::asio::any_io_executor& executor)
@@ -44,7 +44,7 @@
         return waiting_.size();
     }
 
-    // More slots let waiting calls run.
+    // Added slots are given to waiting calls at once.
     void resize(std::uint32_t slots);
 
     // True where the call got a slot, false where it was cancelled before.
--- a/testing/socket_owner.cpp
+++ b/testing/socket_owner.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// "0100007F:1F90", as the kernel's table writes an IPv4 address.
+// Formats an IPv4 endpoint as /proc/net/tcp does, e.g. "0100007F:1F90".
 std::string proc_net_text(const tcp_endpoint& endpoint)
 {
     const auto bytes = endpoint.address().to_v4().to_bytes();
@@ -29,7 +29,7 @@
     return text.data();
 }
 
-// The socket's inode; empty where there is no such connection.
+// Returns the socket's inode, or an empty string without such a connection.
 std::string
 find_socket_inode(const tcp_endpoint& local, const tcp_endpoint& remote)
 {
--- a/testing/socket_owner.hpp
+++ b/testing/socket_owner.hpp
@@ -1,4 +1,4 @@
-// Which process opened a TCP connection on this machine.
+// Finds out which process opened a TCP connection on this machine.
 #ifndef NUTMEGUSHER_TESTING_SOCKET_OWNER_HPP
 #define NUTMEGUSHER_TESTING_SOCKET_OWNER_HPP
 
--- a/testing/stand_in_answers.cpp
+++ b/testing/stand_in_answers.cpp
@@ -1,4 +1,4 @@
-// What a stand-in upstream answers: the bodies of calls, and its own pages.
+// Responses of a stand-in upstream: the bodies of calls and its own endpoints.
 #include "testing/patterned_body.hpp"
 #include "testing/stand_in_server.hpp"
 
--- a/testing/stand_in_server.cpp
+++ b/testing/stand_in_server.cpp
@@ -288,7 +288,7 @@
     }
     log_->finished(identity);
     error_code ignored;
-    // Ends the watch; the connection itself stays as it is.
+    // Cancels the wait of watch_for_close; the connection stays open.
     from->stream.socket().cancel(ignored);
     co_await send_body(from);
 }
--- a/testing/stand_in_server.hpp
+++ b/testing/stand_in_server.hpp
@@ -1,4 +1,4 @@
-// The inside of stand_in_upstream: its HTTP server on one thread.
+// Implementation of stand_in_upstream: a single-threaded HTTP server.
 #ifndef NUTMEGUSHER_TESTING_STAND_IN_SERVER_HPP
 #define NUTMEGUSHER_TESTING_STAND_IN_SERVER_HPP
 
@@ -30,7 +30,7 @@
     // Listens and starts the thread.
     boost::system::error_code start();
 
-    // Safe from every thread.
+    // Thread-safe.
     outcome<void, behavior_problem> control(std::string_view json);
 
     [[nodiscard]] const stand_in_options& options() const
@@ -50,7 +50,7 @@
         boost::beast::http::response<boost::beast::http::string_body>;
     using call_pointer = std::shared_ptr<internal::running_call>;
 
-    // One connection and the request that it brought last.
+    // One connection and its latest request.
     struct session
     {
         explicit session(boost::asio::ip::tcp::socket socket)
--- a/testing/stand_in_upstream.hpp
+++ b/testing/stand_in_upstream.hpp
@@ -1,4 +1,4 @@
-// An upstream as the brief describes it, for tests and demonstrations.
+// An upstream for tests and demonstrations.
 //
 // It speaks HTTP/1.1, announces itself to its daemon, runs calls in a limited
 // number of slots and counts every execution. Besides the calls it answers:
@@ -6,11 +6,11 @@
 //     POST /stand-in/control      members of upstream_behavior, as JSON
 //     GET  /stand-in/executions   execution_log::to_json()
 //     GET  /stand-in/status       running, waiting, cancelled, sub-calls
-//     GET  /nutmegusher/load      slots, busy, state; may lag or mislead
+//     GET  /nutmegusher/load      slots, busy, state; may lag or be false
 //
-// A call's answer is the body that follows from its header `x-token`
+// A call's answer is the body generated from its header `x-token`
 // (patterned_body.hpp), of `x-answer-bytes` bytes; `x-service-ms` overrides
-// the time of service.
+// the service time.
 #ifndef NUTMEGUSHER_TESTING_STAND_IN_UPSTREAM_HPP
 #define NUTMEGUSHER_TESTING_STAND_IN_UPSTREAM_HPP
 
@@ -28,11 +28,11 @@
     std::string service;
     // "ip:port" to listen on.
     std::string address;
-    // What it announces; empty: `address`. For a relay in between.
+    // Address to announce, for a relay in between; empty: `address`.
     std::string announce_as;
     // "ip:port" of its daemon's `upstream` listener; empty: no daemon.
     std::string daemon;
-    // Where executions are noted; empty: in memory only.
+    // File that records executions; empty: in memory only.
     std::string journal;
     std::uint64_t seed = 1;
     upstream_behavior behavior;
@@ -52,7 +52,7 @@
     stand_in_upstream(const stand_in_upstream&) = delete;
     stand_in_upstream& operator=(const stand_in_upstream&) = delete;
 
-    // As POST /stand-in/control.
+    // Same as POST /stand-in/control.
     outcome<void, behavior_problem> control(std::string_view json);
 
     [[nodiscard]] const execution_log& executions() const;
--- a/testing/stand_in_upstream_main.cpp
+++ b/testing/stand_in_upstream_main.cpp
@@ -20,13 +20,13 @@
         "service", "its service", cxxopts::value<std::string>())(
         "address", "ip:port to listen on", cxxopts::value<std::string>())(
         "announce-as",
-        "ip:port to announce where it isn't the address",
+        "ip:port to announce if it differs from the address",
         cxxopts::value<std::string>()->default_value(""))(
         "daemon",
         "ip:port of its daemon's upstream listener",
         cxxopts::value<std::string>()->default_value(""))(
         "journal",
-        "file that notes the executions",
+        "file that records the executions",
         cxxopts::value<std::string>()->default_value(""))(
         "behavior",
         "JSON as for POST /stand-in/control",
@@ -41,7 +41,7 @@
         ts::merge_behavior({}, parsed["behavior"].as<std::string>());
     if (!behavior)
     {
-        std::cerr << "stand_in_upstream: --behavior isn't right\n";
+        std::cerr << "stand_in_upstream: --behavior is not a valid JSON object of behavior members\n";
         return usage_error;
     }
     sigset_t ends;
--- a/testing/stop_test.cpp
+++ b/testing/stop_test.cpp
@@ -1,5 +1,5 @@
-// A daemon that stops answers every request that it has passed on, also of
-// callers that keep using their connections until it is gone.
+// A stopping daemon must answer every request that it has forwarded, also on
+// connections that callers keep using until it exits.
 #include "testing/async_http_client.hpp"
 #include "testing/proof_fixture.hpp"
 
@@ -28,16 +28,16 @@
 constexpr std::chrono::seconds stop_bound(30);
 constexpr unsigned status_ok = 200;
 
-// What callers saw of the requests that they sent during one stop.
+// Results of the requests that callers sent during one stop.
 struct stop_results
 {
     std::size_t answered = 0;
     std::size_t refused = 0;
-    // Tokens of the requests whose connections ended without an answer.
+    // Tokens of the requests whose connections closed without an answer.
     std::set<std::string> unanswered;
 };
 
-// Callers of one daemon that keep their connections open.
+// Callers of one daemon on keep-alive connections.
 class keep_alive_callers
 {
 public:
@@ -47,7 +47,7 @@
     {
     }
 
-    // Opens so many connections, each with a first request.
+    // Opens the connections, each with a first request.
     void open(std::size_t connections)
     {
         for (std::size_t i = 0; i < connections; ++i)
@@ -68,7 +68,7 @@
     }
 
 private:
-    // Long enough that no connection is used by two first calls.
+    // Long enough that no two first calls share a connection.
     static constexpr double first_service_ms = 300.0;
     static constexpr double mean_gap_ms = 12.0;
     static constexpr double longest_service_ms = 40.0;
@@ -147,8 +147,8 @@
         start(options, association_classes(), {offered_view(1)});
     }
 
-    // Stops the first daemon while callers use their connections; the requests
-    // that were passed on and not answered.
+    // Stops the first daemon while callers use their connections. Returns the
+    // tokens of requests that were executed but not answered.
     std::vector<std::string> requests_lost_in_stop(std::uint64_t seed)
     {
         keep_alive_callers callers(
@@ -184,14 +184,14 @@
         }
     }
 
-    // More than there are requests in a stop, so that each of them can come on
-    // a connection that was idle when the stop began.
+    // More than the requests sent during a stop, so that each can use a
+    // connection that was idle when the stop began.
     static constexpr std::size_t kept_connections = 200;
     static constexpr std::uint64_t stops = 6;
 };
 
-// A request on a kept connection was passed on and then cut, because the end
-// of a stop rested on one look at what was in flight.
+// Guards against a stop that checks only once for calls in flight: a request
+// on a keep-alive connection was forwarded after the check and then cut off.
 TEST_F(stopping, answers_what_kept_connections_bring_until_it_ends)
 {
     start_with(1);
@@ -267,8 +267,8 @@
     expect_handed_over(find_leader());
 }
 
-// An operator's connection on which half a head has come holds the step of the
-// callers until the limit; the leadership goes elsewhere all the same.
+// An operator's connection with an incomplete request header delays the stop
+// until its limit; the leadership must still be handed over.
 TEST_F(stopping_control, hands_its_leadership_over_beside_a_slow_operator)
 {
     start_control();
@@ -282,8 +282,8 @@
     expect_handed_over(index);
 }
 
-// A control host whose stop was held up by a slow operator answered each poll
-// at once, and its daemons polled it without a pause.
+// Guards against a busy loop: a control host whose stop was delayed by a slow
+// operator answered each poll at once, and daemons polled it without a pause.
 TEST_F(stopping_control, is_not_polled_without_a_pause_beside_a_slow_operator)
 {
     start_control();
--- a/testing/testing.hpp
+++ b/testing/testing.hpp
@@ -1,5 +1,5 @@
-// Support for tests on running processes: stand-ins at the interfaces, a
-// driver of processes and clients. Not shipped.
+// Support for end-to-end tests: stand-in upstreams, a process driver and
+// clients. Not installed.
 //
 //     auto block = address_block::reserve();
 //     auto upstream = stand_in_upstream::start(
--- a/testing/upstream_behavior.cpp
+++ b/testing/upstream_behavior.cpp
@@ -81,7 +81,7 @@
         return behavior_problem::not_an_object;
     }
     upstream_behavior merged = base;
-    // A cold start begins with the change that names it.
+    // Only a change that names `cold_ms` begins a cold start.
     merged.cold_ms = 0;
     for (const auto& member : value.get_object())
     {
--- a/testing/whole_answer_test.cpp
+++ b/testing/whole_answer_test.cpp
@@ -1,4 +1,4 @@
-// Every caller receives the whole answer to its own request.
+// Every caller must receive the complete answer to its own request.
 #include "testing/proof_fixture.hpp"
 
 namespace nutmegusher::test_support
