--- a/testing/address_block.hpp
+++ b/testing/address_block.hpp
@@ -17,7 +17,7 @@
 class address_block
 {
 public:
-    // Fails with the last error where no block is free.
+    // Fails with the last error if no block is free.
     [[nodiscard]] static outcome<address_block, boost::system::error_code>
     reserve();
 
--- a/testing/deployment.hpp
+++ b/testing/deployment.hpp
@@ -99,7 +99,8 @@
     void isolate_control(std::size_t index, bool isolated);
 
     // Silently drops, or forwards again, the traffic between a control host
-    // and the other control hosts; daemons still reach all. Requires: `relay_to_control`.
+    // and the other control hosts; daemons still reach all.
+    // Requires: `relay_to_control`.
     void partition_control(std::size_t index, bool partitioned);
 
     // Declares the classes and waits until every daemon runs them and knows
--- a/testing/endpoint.hpp
+++ b/testing/endpoint.hpp
@@ -20,7 +20,7 @@
     return {boost::asio::ip::make_address(ip), port};
 }
 
-// Requires: `address` is "ip:port"; throws where it isn't.
+// Requires: `address` is "ip:port"; throws otherwise.
 [[nodiscard]] inline tcp_endpoint parse_endpoint(std::string_view address)
 {
     const auto colon = address.rfind(':');
--- a/testing/execution_log.hpp
+++ b/testing/execution_log.hpp
@@ -39,8 +39,8 @@
 class execution_log
 {
 public:
-    // Empty `journal`: in memory only. Otherwise reads what the file has and
-    // appends to it.
+    // Empty `journal`: in memory only. Otherwise loads the file's executions
+    // and appends new ones.
     [[nodiscard]] static outcome<
         std::unique_ptr<execution_log>,
         boost::system::error_code>
@@ -75,7 +75,7 @@
     execution_counts by_request_;
 };
 
-// The counts of one journal file; empty where there is none.
+// The counts of one journal file; empty if it doesn't exist.
 [[nodiscard]] execution_counts read_journal_by_key(const std::string& journal);
 [[nodiscard]] execution_counts
 read_journal_by_token(const std::string& journal);
--- a/testing/http_client.hpp
+++ b/testing/http_client.hpp
@@ -56,7 +56,7 @@
 
 using http_result = outcome<http_answer, http_failure>;
 
-// Sends one request on a new connection and waits for the whole answer.
+// Sends one request on a new connection and waits for the complete answer.
 [[nodiscard]] http_result send_request(
     std::string_view address,
     const http_request& request,
--- a/testing/oracle.hpp
+++ b/testing/oracle.hpp
@@ -16,8 +16,8 @@
 enum class violation_kind : std::uint8_t
 {
     ran_twice,         // a keyed call started more than once
-    not_run_but_ran,   // told "not run", and started
-    completed_not_run, // told "completed", and never finished
+    not_run_but_ran,   // reported as not run, but started
+    completed_not_run, // reported as completed, but never finished
     wrong_answer       // a complete answer with the wrong body
 };
 
--- a/testing/slot_queue.hpp
+++ b/testing/slot_queue.hpp
@@ -47,7 +47,7 @@
     // Added slots are given to waiting calls at once.
     void resize(std::uint32_t slots);
 
-    // True where the call got a slot, false where it was cancelled before.
+    // True if the call got a slot, false if it was cancelled before.
     boost::asio::awaitable<bool> acquire(std::shared_ptr<running_call> call);
 
     void release();
--- a/testing/socket_owner.hpp
+++ b/testing/socket_owner.hpp
@@ -9,7 +9,7 @@
 namespace nutmegusher::test_support::internal
 {
 
-// True where `process` holds the socket that is connected from `local` to
+// True if `process` holds the socket that is connected from `local` to
 // `remote` (IPv4). All processes of a deployment connect from 127.0.0.1, so
 // a relay can't tell them apart by address.
 [[nodiscard]] bool owns_connection(
--- a/testing/stand_in_upstream.hpp
+++ b/testing/stand_in_upstream.hpp
@@ -42,7 +42,7 @@
 class stand_in_upstream
 {
 public:
-    // Fails where the address can't be listened on or the journal not opened.
+    // Fails if it can't listen on the address or open the journal.
     [[nodiscard]] static outcome<
         std::unique_ptr<stand_in_upstream>,
         boost::system::error_code>
--- a/testing/stand_in_upstream_main.cpp
+++ b/testing/stand_in_upstream_main.cpp
@@ -41,7 +41,7 @@
         ts::merge_behavior({}, parsed["behavior"].as<std::string>());
     if (!behavior)
     {
-        std::cerr << "stand_in_upstream: --behavior is not a valid JSON object of behavior members\n";
+        std::cerr << "stand_in_upstream: --behavior is invalid\n";
         return usage_error;
     }
     sigset_t ends;
