--- a/testing/at_most_once_test.cpp
+++ b/testing/at_most_once_test.cpp
@@ -1,6 +1,6 @@
 // A payout must run at most once under any fault, and a call reported as "not
 // run" must not have run.
-#include "testing/proof_fixture.hpp"
+#include "testing/process_test_fixture.hpp"
 
 #include <thread>
 
@@ -15,7 +15,7 @@
 constexpr double rate = 60.0;
 constexpr double min_completed_share = 0.95;
 
-class at_most_once : public proof
+class at_most_once : public process_test
 {
 protected:
     void SetUp() override
--- a/testing/configuration_test.cpp
+++ b/testing/configuration_test.cpp
@@ -1,5 +1,5 @@
 // An accepted configuration must come into force everywhere and never revert.
-#include "testing/proof_fixture.hpp"
+#include "testing/process_test_fixture.hpp"
 
 #include <atomic>
 #include <thread>
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class configuration : public proof
+class configuration : public process_test
 {
 protected:
     void SetUp() override
@@ -26,7 +26,7 @@
     void TearDown() override
     {
         stop_watch();
-        proof::TearDown();
+        process_test::TearDown();
     }
 
     // Sets the view class's target, based on the last known revision.
@@ -44,7 +44,7 @@
     }
 
     // Reads the view class's revision from a conflict.
-    void learn_view_revision()
+    void read_view_revision()
     {
         const auto conflict = settle_change(
             cluster->all_control_operators(),
@@ -123,14 +123,14 @@
 
 TEST_F(configuration, accepted_change_is_in_force_everywhere)
 {
-    learn_view_revision();
+    read_view_revision();
     ASSERT_EQ(set_view_target(1111).outcome, change_outcome::accepted);
     EXPECT_TRUE(in_force_everywhere(1111)) << cluster->logs();
 }
 
 TEST_F(configuration, survives_the_kill_of_everything)
 {
-    learn_view_revision();
+    read_view_revision();
     ASSERT_EQ(set_view_target(1234).outcome, change_outcome::accepted);
     start_watch();
     for (std::size_t i = 0; i < cluster->control_count(); ++i)
@@ -157,7 +157,7 @@
 
 TEST_F(configuration, restart_after_hundreds_of_changes)
 {
-    learn_view_revision();
+    read_view_revision();
     constexpr std::uint32_t change_count = 300;
     for (std::uint32_t i = 1; i <= change_count; ++i)
     {
@@ -175,7 +175,7 @@
 
 TEST_F(configuration, of_racing_operators_one_wins)
 {
-    learn_view_revision();
+    read_view_revision();
     constexpr std::uint32_t operators = 6;
     constexpr std::uint32_t rounds = 5;
     for (std::uint32_t round = 0; round < rounds; ++round)
@@ -217,7 +217,7 @@
 
 TEST_F(configuration, resend_after_a_lost_answer_gets_the_first_answer)
 {
-    learn_view_revision();
+    read_view_revision();
     const auto change = target_change("once", view_revision, "view", 1500);
     const auto first = settle_change(reachable, change);
     ASSERT_EQ(first.outcome, change_outcome::accepted);
@@ -239,7 +239,7 @@
 
 TEST_F(configuration, isolated_control_host_accepts_nothing)
 {
-    learn_view_revision();
+    read_view_revision();
     start_watch();
     for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
@@ -251,12 +251,12 @@
         ASSERT_EQ(set_view_target(latency).outcome, change_outcome::accepted)
             << cluster->logs();
         EXPECT_TRUE(in_force_everywhere(latency)) << cluster->logs();
-        const auto lonely = send_change(
+        const auto isolated_answer = send_change(
             isolated,
             target_change(
                 "lonely-" + std::to_string(i), view_revision, "view", 9000),
             seconds(8));
-        EXPECT_NE(lonely.outcome, change_outcome::accepted);
+        EXPECT_NE(isolated_answer.outcome, change_outcome::accepted);
         cluster->isolate_control(i, false);
     }
     EXPECT_TRUE(in_force_everywhere(1602));
@@ -265,7 +265,7 @@
 
 TEST_F(configuration, control_host_without_a_leader_holds_no_daemon_back)
 {
-    learn_view_revision();
+    read_view_revision();
     start_watch();
     for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
@@ -284,7 +284,7 @@
 
 TEST_F(configuration, frozen_leader_wakes_late_and_reverts_nothing)
 {
-    learn_view_revision();
+    read_view_revision();
     start_watch();
     for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
@@ -302,7 +302,7 @@
 
 TEST_F(configuration, majority_lost_accepts_nothing_and_daemons_serve_on)
 {
-    learn_view_revision();
+    read_view_revision();
     cluster->control(0).kill();
     cluster->control(1).kill();
     const auto change = target_change("minority", view_revision, "view", 9100);
@@ -319,7 +319,7 @@
 
 TEST_F(configuration, daemon_that_starts_without_control_serves_nothing_old)
 {
-    learn_view_revision();
+    read_view_revision();
     for (std::size_t i = 0; i < cluster->control_count(); ++i)
     {
         cluster->control(i).kill();
--- a/testing/leaving_test.cpp
+++ b/testing/leaving_test.cpp
@@ -1,6 +1,6 @@
 // Leaving upstreams must get no new calls, and a planned stop must not
 // interrupt any.
-#include "testing/proof_fixture.hpp"
+#include "testing/process_test_fixture.hpp"
 
 #include <csignal>
 #include <thread>
@@ -17,7 +17,7 @@
 constexpr seconds leaving_bound(4);
 constexpr seconds stop_bound(30);
 
-class leaving : public proof
+class leaving : public process_test
 {
 protected:
     void SetUp() override
@@ -36,7 +36,7 @@
     }
 
     // The number of calls that one upstream has started.
-    std::uint32_t started_at(std::size_t index) const
+    std::uint32_t executions_started_by(std::size_t index) const
     {
         std::uint32_t started = 0;
         const auto journal = "u" + std::to_string(index) + ".journal";
@@ -76,9 +76,9 @@
     EXPECT_TRUE(wait_started("balances", 20));
     cluster->control_upstream(2, R"({"state": "leaving"})");
     std::this_thread::sleep_for(leaving_bound);
-    const auto then = started_at(2);
+    const auto then = executions_started_by(2);
     EXPECT_TRUE(wait_started("balances", 100));
-    EXPECT_EQ(started_at(2), then);
+    EXPECT_EQ(executions_started_by(2), then);
     expect_all_completed(running.get());
 }
 
@@ -169,7 +169,7 @@
 
 // The stopping daemon has the only upstream of its service. Until callers have
 // received notice of the stop, it must still run calls of other daemons.
-TEST_F(proof, a_stopping_daemon_serves_other_daemons_for_a_while)
+TEST_F(process_test, a_stopping_daemon_serves_other_daemons_for_a_while)
 {
     deployment_options options;
     options.upstreams = {{"disbursement", "{}"}, {"balances", "{}"}};
--- a/testing/overload_test.cpp
+++ b/testing/overload_test.cpp
@@ -1,6 +1,6 @@
 // Under overload payouts must be refused last, and the retries for one request
 // must stay bounded at every depth of the call path.
-#include "testing/proof_fixture.hpp"
+#include "testing/process_test_fixture.hpp"
 
 #include <thread>
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-class refusals : public proof
+class refusals : public process_test
 {
 protected:
     static double share(
@@ -18,16 +18,16 @@
         caller_outcome view)
     {
         double all = 0;
-        double such = 0;
+        double matching = 0;
         for (const auto& record : records)
         {
             if (record.class_name == class_name)
             {
                 ++all;
-                such += record.outcome == view ? 1 : 0;
+                matching += record.outcome == view ? 1 : 0;
             }
         }
-        return such / all;
+        return matching / all;
     }
 };
 
--- a/testing/proof_fixture.hpp
+++ b/testing/process_test_fixture.hpp
@@ -9,7 +9,7 @@
 namespace nutmegusher::test_support
 {
 
-class proof : public ::testing::Test
+class process_test : public ::testing::Test
 {
 protected:
     void TearDown() override
--- a/testing/silence_test.cpp
+++ b/testing/silence_test.cpp
@@ -1,13 +1,13 @@
 // Requests must complete although open connections silently drop all traffic
 // while new ones work.
-#include "testing/proof_fixture.hpp"
+#include "testing/process_test_fixture.hpp"
 
 namespace nutmegusher::test_support
 {
 namespace
 {
 
-class silence : public proof
+class silence : public process_test
 {
 protected:
     void SetUp() override
--- a/testing/stop_test.cpp
+++ b/testing/stop_test.cpp
@@ -1,7 +1,7 @@
 // A stopping daemon must answer every request that it has forwarded, also on
 // connections that callers keep using until it exits.
 #include "testing/async_http_client.hpp"
-#include "testing/proof_fixture.hpp"
+#include "testing/process_test_fixture.hpp"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -135,7 +135,7 @@
     stop_results results_;
 };
 
-class stopping : public proof
+class stopping : public process_test
 {
 protected:
     void start_with(std::uint32_t threads, std::uint32_t accept_ms = 0)
@@ -210,7 +210,7 @@
     expect_nothing_lost();
 }
 
-class stopping_control : public proof
+class stopping_control : public process_test
 {
 protected:
     void start_control()
@@ -221,7 +221,7 @@
         start(options, association_classes(), {offered_view(1)});
     }
 
-    std::size_t logged(std::size_t index, const std::string& event) const
+    std::size_t count_events(std::size_t index, const std::string& event) const
     {
         const auto log = cluster->file("c" + std::to_string(index) + ".log");
         std::size_t count = 0;
@@ -233,16 +233,17 @@
         return count;
     }
 
-    std::size_t led_by(std::size_t index) const
+    std::size_t current_leaderships(std::size_t index) const
     {
-        return logged(index, "control_leader_elected") -
-               logged(index, "control_stepped_down");
+        return count_events(index, "control_leader_elected") -
+               count_events(index, "control_stepped_down");
     }
 
     std::size_t find_leader() const
     {
         std::size_t index = 0;
-        while (index + 1 < cluster->control_count() && led_by(index) == 0)
+        while (index + 1 < cluster->control_count() &&
+               current_leaderships(index) == 0)
         {
             ++index;
         }
@@ -251,12 +252,12 @@
 
     void expect_handed_over(std::size_t index)
     {
-        EXPECT_GT(led_by(index), 0U);
+        EXPECT_GT(current_leaderships(index), 0U);
         cluster->control(index).signal(SIGTERM);
         const auto ended = cluster->control(index).wait_exit(stop_bound);
         ASSERT_TRUE(ended);
         EXPECT_EQ(ended->code, 0);
-        EXPECT_EQ(led_by(index), 0U)
+        EXPECT_EQ(current_leaderships(index), 0U)
             << cluster->file("c" + std::to_string(index) + ".log");
     }
 };
--- a/testing/whole_answer_test.cpp
+++ b/testing/whole_answer_test.cpp
@@ -1,5 +1,5 @@
 // Every caller must receive the complete answer to its own request.
-#include "testing/proof_fixture.hpp"
+#include "testing/process_test_fixture.hpp"
 
 namespace nutmegusher::test_support
 {
@@ -11,7 +11,7 @@
 constexpr std::uint64_t dossier_bytes = 50ULL * 1024 * 1024;
 constexpr std::uint64_t memory_bound_kib = 48ULL * 1024;
 
-class whole_answers : public proof
+class whole_answers : public process_test
 {
 protected:
     void SetUp() override
