--- a/testing/association.hpp
+++ b/testing/association.hpp
@@ -12,20 +12,20 @@
 namespace nutmegusher::test_support
 {
 
-// Payouts before views before fund lookups before statements; each class has
-// a service of its own.
+// Payouts, views, fund lookups and statements, from the most to the least
+// important rank. Each class has its own service.
 [[nodiscard]] std::vector<declared_class> association_classes();
 
 // The same ranks, all in the service "cash", so that they compete for the
 // slots of the same upstreams.
 [[nodiscard]] std::vector<declared_class> shared_service_classes();
 
-// `rate` calls a second of one of the classes above.
+// Load of one of the classes above, `rate` calls a second.
 [[nodiscard]] offered_class offered_payout(double rate);
 [[nodiscard]] offered_class offered_view(double rate);
 [[nodiscard]] offered_class offered_statement(double rate);
 
-// The load of a class, sent to the service "cash".
+// The same load, sent to the service "cash".
 [[nodiscard]] offered_class in_shared_service(offered_class offered);
 
 } // namespace nutmegusher::test_support
--- a/testing/deployment.hpp
+++ b/testing/deployment.hpp
@@ -1,10 +1,10 @@
 // A deployment of processes on loopback: control hosts, and a daemon for each
 // stand-in upstream.
 //
-//     auto here = deployment::start({.upstreams = {{"disbursement"}}});
-//     (*here)->declare(association_classes()); // association.hpp
-//     (*here)->daemon(0).kill();
-//     (*here)->restart_daemon(0);
+//     auto cluster = deployment::start({.upstreams = {{"disbursement"}}});
+//     (*cluster)->declare(association_classes()); // association.hpp
+//     (*cluster)->daemon(0).kill();
+//     (*cluster)->restart_daemon(0);
 #ifndef NUTMEGUSHER_TESTING_DEPLOYMENT_HPP
 #define NUTMEGUSHER_TESTING_DEPLOYMENT_HPP
 
@@ -119,12 +119,13 @@
 
     void control_upstream(std::size_t index, const std::string& behavior) const;
 
-    // Sum of the executions of a service's upstreams, killed ones included;
-    // without a name, of all upstreams.
+    // Sum of the executions of a service's upstreams, including those before a
+    // kill. An empty name selects all upstreams.
     [[nodiscard]] execution_counts
     executions_by_token(std::string_view service = {}) const;
 
-    // The logs of all processes, for a test that fails.
+    // The ends of the logs of all control hosts and daemons, for messages of
+    // failed tests.
     [[nodiscard]] std::string logs() const;
 
     // A settings file, log or journal in the deployment's folder.
--- a/testing/load_client.hpp
+++ b/testing/load_client.hpp
@@ -107,7 +107,7 @@
 [[nodiscard]] std::string
 to_table(const std::vector<load_record>& records, const load_options& options);
 
-// The same as JSON.
+// The same summary as JSON.
 [[nodiscard]] std::string
 to_json(const std::vector<load_record>& records, const load_options& options);
 
--- a/testing/oracle.hpp
+++ b/testing/oracle.hpp
@@ -32,7 +32,8 @@
 
 [[nodiscard]] std::string to_text(const std::vector<violation>& violations);
 
-// `counts` are the sums over all upstreams of the classes' services, by token.
+// Returns the violations in `records`. `counts` holds the executions by token,
+// summed over all upstreams of the classes' services.
 [[nodiscard]] std::vector<violation> check_executions(
     const std::vector<load_record>& records, const execution_counts& counts);
 
--- a/testing/relay.hpp
+++ b/testing/relay.hpp
@@ -1,7 +1,7 @@
 // A TCP relay with injectable faults.
 //
-//     auto cut = relay::start(block.address(9, 1000), daemon_address);
-//     (*cut)->set({.to_target = relay_direction::silent});
+//     auto link = relay::start(block.address(9, 1000), daemon_address);
+//     (*link)->set({.to_target = relay_direction::silent});
 //
 // As a program (`relay`) it reads the same as JSON lines on standard input.
 #ifndef NUTMEGUSHER_TESTING_RELAY_HPP
@@ -35,7 +35,7 @@
     // False: `to_target` and `to_client` apply only to the connections that
     // are open now.
     bool new_connections_too = true;
-    // New connections are closed at once.
+    // New connections are accepted and closed at once.
     bool refuse_new = false;
 };
 
--- a/testing/upstream_behavior.hpp
+++ b/testing/upstream_behavior.hpp
@@ -24,7 +24,7 @@
 
 struct upstream_behavior
 {
-    // Calls that run at once; more wait in the upstream's own queue.
+    // Calls that run concurrently; further calls wait in the upstream's queue.
     std::uint32_t slots = 16;
     // Mean service time, milliseconds.
     double service_ms = 1.0;
@@ -68,7 +68,7 @@
     wrong_type
 };
 
-// `base` with the members that `json` names replaced.
+// Returns `base` with the members replaced that `json` names.
 [[nodiscard]] outcome<upstream_behavior, behavior_problem>
 merge_behavior(const upstream_behavior& base, std::string_view json);
 
