--- a/testing/deployment.hpp
+++ b/testing/deployment.hpp
@@ -73,7 +73,8 @@
     [[nodiscard]] child_process& daemon(std::size_t index);
     [[nodiscard]] child_process& upstream(std::size_t index);
 
-    // Names of the processes that have crashed since the last call.
+    // Names of the processes that are crashed now, or were when restarted since
+    // the last call.
     [[nodiscard]] std::vector<std::string> crashes();
 
     // Restart a process with the same settings and folders.
@@ -104,7 +105,8 @@
     void partition_control(std::size_t index, bool partitioned);
 
     // Declares the classes and waits until every daemon runs them and knows
-    // its own upstream. False after a time limit.
+    // its own upstream. False if a change is refused or a time limit
+    // passes.
     [[nodiscard]] bool declare(const std::vector<declared_class>& classes);
 
     // Waits until every running daemon runs `revision` or a later one; false
--- a/testing/fuzz/messages_fuzz.cpp
+++ b/testing/fuzz/messages_fuzz.cpp
@@ -39,7 +39,7 @@
 } // namespace
 
 // The first byte chooses the message.
-// The name is libFuzzer's.
+// libFuzzer prescribes the function's name.
 // NOLINTBEGIN(readability-identifier-naming)
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
