--- a/testing/silence_test.cpp
+++ b/testing/silence_test.cpp
@@ -1,12 +1,13 @@
-// Open connections that go silent for good while new ones work.
-#include "testing/proof_fixture.hpp"
+// Requests must complete although open connections silently drop all traffic
+// while new ones work.
+#include "testing/process_test_fixture.hpp"
 
 namespace nutmegusher::test_support
 {
 namespace
 {
 
-class silence : public proof
+class silence : public process_test
 {
 protected:
     void SetUp() override
@@ -21,7 +22,7 @@
             {offered_payout(1), offered_view(1)});
     }
 
-    // All connections to upstreams that are open now; new ones pass.
+    // Silences all open connections to upstreams; new connections work.
     void silence_open_connections() const
     {
         relay_behavior silent;
