--- a/bench/capacity/capacity_main.cpp
+++ b/bench/capacity/capacity_main.cpp
@@ -32,20 +32,31 @@
     const auto& members = from.membership;
     const auto& claims = from.claims;
     const auto& configured = from.configuration;
-    for (const auto* const each :
-         {&members.lease_memory,   &members.renewal_time,
-          &members.expire_time,    &members.idle_time,
-          &members.quiet_time,     &members.apply_time,
-          &members.request_size,   &members.reply_size,
-          &members.exchange_size,  &members.view_memory,
-          &members.subset_time,    &claims.finished_memory,
-          &claims.stripped_memory, &claims.apply_time,
-          &claims.log_size,        &claims.snapshot_size,
-          &claims.snapshot_time,   &claims.ledger_memory,
-          &claims.ledger_time,     &configured.class_memory,
-          &configured.full_size,   &configured.delta_size,
-          &configured.apply_time,  &configured.update_time,
-          &from.disk.sync_time})
+    for (const auto* const each : {&members.lease_memory,
+                                   &members.renewal_time,
+                                   &members.expire_time,
+                                   &members.idle_sync_time,
+                                   &members.idle_exchange_time,
+                                   &members.apply_time,
+                                   &members.request_size,
+                                   &members.reply_size,
+                                   &members.exchange_size,
+                                   &members.view_memory,
+                                   &members.subset_time,
+                                   &claims.finished_memory,
+                                   &claims.stripped_memory,
+                                   &claims.apply_time,
+                                   &claims.log_size,
+                                   &claims.snapshot_size,
+                                   &claims.snapshot_time,
+                                   &claims.ledger_memory,
+                                   &claims.ledger_time,
+                                   &configured.class_memory,
+                                   &configured.full_size,
+                                   &configured.delta_size,
+                                   &configured.apply_time,
+                                   &configured.update_time,
+                                   &from.disk.sync_time})
     {
         print(*each);
     }
@@ -73,7 +84,7 @@
     for (const auto& line : from.lines)
     {
         std::cout << "| " << line.what << " | " << line.value << " | "
-                  << line.limit << " | " << to_string(line.rests_on) << " | "
+                  << line.limit << " | " << to_string(line.value_basis) << " | "
                   << line.mechanism << " |\n";
     }
 }
@@ -94,6 +105,6 @@
     print(relay_role(measured));
     print(voter_role(measured));
     print(claims_role(measured));
-    print(bad_hours(measured));
+    print(failure_scenarios(measured));
     return 0;
 }
--- a/bench/capacity/measure_claims.cpp
+++ b/bench/capacity/measure_claims.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t answer_body_bytes = 256;
 constexpr std::uint64_t wall_ms = 1'790'000'000'000;
 
-messages::claim_command command_of(std::size_t number)
+messages::claim_command make_command(std::size_t number)
 {
     messages::claim_command out;
     out.mutable_key()->set_customer("charity-" + std::to_string(number % 500));
@@ -35,16 +35,16 @@
     return out;
 }
 
-messages::claim_command start_of(std::size_t number)
+messages::claim_command make_start(std::size_t number)
 {
-    auto out = command_of(number);
+    auto out = make_command(number);
     out.mutable_start()->set_request_digest(~0ULL - number);
     return out;
 }
 
-messages::claim_command finish_of(std::size_t number)
+messages::claim_command make_finish(std::size_t number)
 {
-    auto out = command_of(number);
+    auto out = make_command(number);
     auto& answer = *out.mutable_finish()->mutable_answer();
     answer.set_status(201);
     auto& header = *answer.add_headers();
@@ -54,10 +54,10 @@
     return out;
 }
 
-claim_limits wide_limits(std::uint64_t answer_bytes)
+claim_limits make_limits(std::uint64_t answer_bytes)
 {
-    constexpr std::uint64_t plenty = 8ULL << 30U;
-    return {.max_bytes = plenty, .max_answer_bytes = answer_bytes};
+    constexpr std::uint64_t max_table_bytes = 8ULL << 30U;
+    return {.max_bytes = max_table_bytes, .max_answer_bytes = answer_bytes};
 }
 
 std::size_t logged_bytes(const messages::claim_command& command)
@@ -85,22 +85,22 @@
         std::size_t bytes = 0;
         for (std::size_t number = 0; number < claims; ++number)
         {
-            commands.push_back(start_of(number));
+            commands.push_back(make_start(number));
             bytes += logged_bytes(commands.back());
-            commands.push_back(finish_of(number));
+            commands.push_back(make_finish(number));
             bytes += logged_bytes(commands.back());
         }
         logged.push_back({size, static_cast<double>(bytes)});
         const auto before = allocated_bytes();
-        claim_table table(wide_limits(all));
+        claim_table table(make_limits(all));
         apply.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      for (const auto& command : commands)
                      {
-                         keep(table.apply(command));
+                         do_not_optimize(table.apply(command));
                      }
                  })});
         memory.push_back(
@@ -108,7 +108,7 @@
         std::string content;
         snapshot_ns.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      content = table.snapshot();
@@ -128,11 +128,11 @@
     for (const auto claims : claim_counts_measured)
     {
         const auto before = allocated_bytes();
-        claim_table table(wide_limits(0));
+        claim_table table(make_limits(0));
         for (std::size_t number = 0; number < claims; ++number)
         {
-            table.apply(start_of(number));
-            table.apply(finish_of(number));
+            table.apply(make_start(number));
+            table.apply(make_finish(number));
         }
         memory.push_back(
             {static_cast<double>(claims),
@@ -148,7 +148,7 @@
     for (const auto count : request_counts)
     {
         const auto size = static_cast<double>(count);
-        const request_context terms{
+        const request_context context{
             .rank = 0,
             .deadline = time_point(std::chrono::seconds(1)),
             .customer = customer_id("charity-123"),
@@ -161,7 +161,7 @@
         {
             running.push_back(ledger.open(
                 request_id("0123456789abcdef-" + std::to_string(number)),
-                terms,
+                context,
                 retry_tokens::mint(2)));
         }
         memory.push_back(
@@ -169,15 +169,15 @@
         const request_id id("0123456789abcdef-more");
         time.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      for (std::size_t turn = 0; turn < count; ++turn)
                      {
                          auto one =
-                             ledger.open(id, terms, retry_tokens::mint(2));
-                         keep(ledger.begin_sub_call(id, 1));
-                         keep(one.finish().count());
+                             ledger.open(id, context, retry_tokens::mint(2));
+                         do_not_optimize(ledger.begin_sub_call(id, 1));
+                         do_not_optimize(one.finish().count());
                      }
                  })});
     }
--- a/bench/capacity/measure_configuration.cpp
+++ b/bench/capacity/measure_configuration.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t class_counts[] = {250, 500, 1000, 3000};
 constexpr std::size_t change_counts[] = {1, 10, 100};
 
-messages::work_class class_of(std::size_t number)
+messages::work_class make_class(std::size_t number)
 {
     messages::work_class out;
     out.set_name("class-" + std::to_string(number));
@@ -27,24 +27,24 @@
     return out;
 }
 
-messages::change declaration(std::size_t number)
+messages::change make_declaration(std::size_t number)
 {
     messages::change out;
     out.set_change_id("0123456789abcdef0123456789abcdef");
     out.set_change_id(out.change_id() + std::to_string(number));
     out.set_author("ana.echevarria");
-    *out.mutable_declare() = class_of(number);
+    *out.mutable_declare() = make_class(number);
     out.mutable_declare()->clear_revision();
     return out;
 }
 
-messages::configuration configuration_of(std::size_t classes)
+messages::configuration make_configuration(std::size_t classes)
 {
     messages::configuration out;
     out.set_revision(100'000 + classes);
     for (std::size_t number = 0; number < classes; ++number)
     {
-        *out.add_classes() = class_of(number);
+        *out.add_classes() = make_class(number);
     }
     return out;
 }
@@ -60,7 +60,7 @@
     for (const auto classes : class_counts)
     {
         const auto size = static_cast<double>(classes);
-        const auto content = configuration_of(classes);
+        const auto content = make_configuration(classes);
         full.push_back({size, static_cast<double>(content.ByteSizeLong())});
         const auto before = allocated_bytes();
         const node::configuration_view view(content);
@@ -68,20 +68,20 @@
             {size, static_cast<double>(allocated_bytes() - before)});
         update.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
-                     keep(node::configuration_view(content));
+                     do_not_optimize(node::configuration_view(content));
                  })});
         configuration_store store;
         apply.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      for (std::size_t number = 0; number < classes; ++number)
                      {
-                         keep(store.apply(declaration(number)));
+                         do_not_optimize(store.apply(make_declaration(number)));
                      }
                  })});
     }
@@ -93,7 +93,7 @@
         {
             auto& accepted = *content.add_changes();
             accepted.set_revision(100'000 + number);
-            *accepted.mutable_what() = declaration(number);
+            *accepted.mutable_what() = make_declaration(number);
         }
         delta.push_back(
             {static_cast<double>(changes),
--- a/bench/capacity/measure_disk.cpp
+++ b/bench/capacity/measure_disk.cpp
@@ -30,10 +30,11 @@
         taken.reserve(batches);
         for (int batch = 0; batch < batches; ++batch)
         {
-            taken.push_back(nanoseconds_of(
+            taken.push_back(measure_nanoseconds(
                 [&]
                 {
-                    keep(::write(file, content.data(), content.size()));
+                    do_not_optimize(
+                        ::write(file, content.data(), content.size()));
                     ::fdatasync(file);
                 }));
         }
--- a/bench/capacity/measure_membership.cpp
+++ b/bench/capacity/measure_membership.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t called_services = 4;
 const time_point start(std::chrono::hours(1));
 
-messages::sync_request request_of(std::size_t number)
+messages::sync_request make_sync_request(std::size_t number)
 {
     const auto host = "upstream-host-" + std::to_string(number);
     messages::sync_request out;
@@ -42,39 +42,39 @@
     return out;
 }
 
-std::unique_ptr<lease_registry> filled(std::size_t leases)
+std::unique_ptr<lease_registry> make_registry(std::size_t leases)
 {
     auto registry =
         std::make_unique<lease_registry>(host_id("control-1"), 77, start);
     for (std::size_t number = 0; number < leases; ++number)
     {
-        registry->renew(start, request_of(number));
+        registry->renew(start, make_sync_request(number));
     }
     registry->expire(start + std::chrono::seconds(1));
     return registry;
 }
 
-messages::upstream_record record_of(std::size_t number)
+messages::upstream_record make_upstream_record(std::size_t number)
 {
-    auto record = request_of(number).own();
+    auto record = make_sync_request(number).own();
     record.set_service("balances");
     return record;
 }
 
 // One second of answers to 22 control hosts that ask ten times a second.
-double quiet_exchanges(const lease_registry& registry, time_point now)
+double measure_idle_exchanges(const lease_registry& registry, time_point now)
 {
-    constexpr int asked = 220;
-    constexpr duration step = std::chrono::seconds(1) / asked;
+    constexpr int exchange_count = 220;
+    constexpr duration step = std::chrono::seconds(1) / exchange_count;
     messages::registry_exchange known;
     known.set_known_epoch(77);
     known.set_known_stamp(~0ULL >> 1U);
-    return nanoseconds_of(
+    return measure_nanoseconds(
         [&]
         {
-            for (int turn = 0; turn < asked; ++turn)
+            for (int turn = 0; turn < exchange_count; ++turn)
             {
-                keep(registry.update(now + turn * step, known));
+                do_not_optimize(registry.update(now + turn * step, known));
             }
         });
 }
@@ -86,23 +86,23 @@
     std::vector<sample> expire;
     std::vector<sample> idle;
     std::vector<sample> apply;
-    std::vector<sample> quiet;
+    std::vector<sample> idle_exchanges;
     for (const auto leases : lease_counts)
     {
         const auto size = static_cast<double>(leases);
         std::vector<messages::sync_request> requests;
         for (std::size_t number = 0; number < leases; ++number)
         {
-            requests.push_back(request_of(number));
+            requests.push_back(make_sync_request(number));
         }
         const auto before = allocated_bytes();
-        const auto registry = filled(leases);
+        const auto registry = make_registry(leases);
         memory.push_back(
             {size, static_cast<double>(allocated_bytes() - before)});
         const auto now = start + std::chrono::seconds(2);
         renewal.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      for (const auto& request : requests)
@@ -112,7 +112,7 @@
                  })});
         expire.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      registry->expire(start + std::chrono::seconds(7));
@@ -127,20 +127,21 @@
         }
         idle.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      for (const auto& request : requests)
                      {
-                         keep(registry->has_news(request));
+                         do_not_optimize(registry->has_news(request));
                      }
                  })});
-        quiet.push_back({size, quiet_exchanges(*registry, now)});
+        idle_exchanges.push_back(
+            {size, measure_idle_exchanges(*registry, now)});
         lease_registry other(host_id("control-2"), 78, start);
         const auto update = registry->update(now, other.exchange(host_id("x")));
         apply.push_back(
             {size,
-             nanoseconds_of(
+             measure_nanoseconds(
                  [&]
                  {
                      other.apply(now, host_id("control-1"), update);
@@ -149,8 +150,9 @@
     out.lease_memory = fit("lease in a registry", "bytes", memory);
     out.renewal_time = fit("renewal of a lease", "ns", renewal);
     out.expire_time = fit("expiry pass, a lease", "ns", expire);
-    out.idle_time = fit("sync without news", "ns", idle);
-    out.quiet_time = fit("second of quiet exchanges, a lease", "ns", quiet);
+    out.idle_sync_time = fit("sync without news", "ns", idle);
+    out.idle_exchange_time =
+        fit("second of quiet exchanges, a lease", "ns", idle_exchanges);
     out.apply_time = fit("lease from another control host", "ns", apply);
 }
 
@@ -161,7 +163,7 @@
     std::vector<sample> exchanges;
     for (const auto services : {0, 2, 4, 8})
     {
-        auto request = request_of(1);
+        auto request = make_sync_request(1);
         request.clear_services();
         for (int number = 0; number < services; ++number)
         {
@@ -179,12 +181,12 @@
         reply.set_registry_epoch(~0ULL >> 1U);
         for (std::size_t number = 0; number < count; ++number)
         {
-            *reply.add_upstreams() = record_of(number);
+            *reply.add_upstreams() = make_upstream_record(number);
         }
         replies.push_back(
             {static_cast<double>(count),
              static_cast<double>(reply.ByteSizeLong())});
-        const auto registry = filled(count);
+        const auto registry = make_registry(count);
         const auto update = registry->update(
             start + std::chrono::seconds(1),
             lease_registry(host_id("control-2"), 78, start)
@@ -213,7 +215,7 @@
         reply.set_accepted(true);
         for (std::size_t number = 0; number < count; ++number)
         {
-            *reply.add_upstreams() = record_of(number);
+            *reply.add_upstreams() = make_upstream_record(number);
         }
         const auto before = allocated_bytes();
         upstream_view view(host_id("upstream-host-1"), here);
@@ -221,12 +223,12 @@
         view.apply(reply);
         memory.push_back(
             {size, static_cast<double>(allocated_bytes() - before)});
-        const auto taken = nanoseconds_of(
+        const auto taken = measure_nanoseconds(
             [&]
             {
                 for (int turn = 0; turn < choices; ++turn)
                 {
-                    keep(view.subset(balances));
+                    do_not_optimize(view.subset(balances));
                 }
             });
         choice.push_back({size, taken / choices});
--- a/bench/capacity/measurement.hpp
+++ b/bench/capacity/measurement.hpp
@@ -34,7 +34,7 @@
 [[nodiscard]] std::size_t allocated_bytes();
 
 template <class Work>
-double nanoseconds_of(Work&& work)
+double measure_nanoseconds(Work&& work)
 {
     const auto begin = std::chrono::steady_clock::now();
     std::forward<Work>(work)();
@@ -45,7 +45,7 @@
 
 // Keeps a result alive for the optimizer.
 template <class T>
-void keep(const T& value)
+void do_not_optimize(const T& value)
 {
     asm volatile("" : : "g"(&value) : "memory");
 }
--- a/bench/capacity/model.cpp
+++ b/bench/capacity/model.cpp
@@ -62,8 +62,8 @@
 
 std::string format(const char* pattern, double value)
 {
-    constexpr std::size_t enough = 48;
-    char text[enough];
+    constexpr std::size_t max_length = 48;
+    char text[max_length];
     std::snprintf(text, sizeof(text), pattern, value);
     return text;
 }
@@ -115,10 +115,10 @@
         (from.membership.reply_size.slope + exchange_overhead_bytes);
     const auto syncs = syncs_a_second * sync_bytes(from);
     const auto pings = ping_bytes * pings_a_second_busy;
-    const auto taking =
+    const auto update_ns =
         changes_a_second() *
         (from.configuration.update_time.slope * classes() + exchange_core_ns);
-    const auto busy = syncs_a_second * exchange_core_ns + taking;
+    const auto busy = syncs_a_second * exchange_core_ns + update_ns;
     return {
         "A daemon",
         {{"upstreams in its view",
@@ -160,7 +160,7 @@
           core_text(busy),
           core_text(node_core_share * nanoseconds_a_second),
           basis::assumed,
-          "of it for changes " + core_text(taking)},
+          "of it for changes " + core_text(update_ns)},
          {"retry tokens and deadlines of a request",
           number_text(from.claims.ledger_time.slope) + " ns, " +
               bytes_text(from.claims.ledger_memory.slope),
@@ -176,9 +176,9 @@
     const auto exchanges = (control_hosts - 1) * exchanges_a_second;
     const auto registry_time =
         syncs * (from.membership.renewal_time.slope +
-                 from.membership.idle_time.slope) +
+                 from.membership.idle_sync_time.slope) +
         daemons * (expiry_passes_a_second * from.membership.expire_time.slope +
-                   from.membership.quiet_time.slope);
+                   from.membership.idle_exchange_time.slope);
     const auto wire_time = (syncs + 2 * exchanges) * exchange_core_ns;
     const auto fan_out =
         changes_a_second() * daemons_a_relay() *
@@ -264,8 +264,8 @@
 role claims_role(const slopes& from)
 {
     const auto claims = claims_a_second();
-    const auto on_each = claims * claim_replicas / control_hosts;
-    const auto kept = on_each * retention_seconds;
+    const auto claims_per_host = claims * claim_replicas / control_hosts;
+    const auto kept = claims_per_host * retention_seconds;
     const auto table_claims =
         claim_groups * table_bytes / from.claims.stripped_memory.slope;
     const auto batch_seconds = (from.disk.sync_time.fixed +
@@ -273,11 +273,11 @@
                                nanoseconds_a_second;
     const auto host_claims =
         relay_claims_memory / from.claims.stripped_memory.slope;
-    const auto hours = host_claims / on_each / 3600;
+    const auto hours = host_claims / claims_per_host / 3600;
     return {
         "Claims: calls that may not be repeated",
         {{"claims a second, all and on each host",
-          number_text(claims) + ", " + number_text(on_each),
+          number_text(claims) + ", " + number_text(claims_per_host),
           "",
           basis::assumed,
           "5% of the calls; 3 replicas on 23 hosts, groups led evenly"},
@@ -293,12 +293,12 @@
           basis::measured,
           "with an answer of 256 B"},
          {"log written on each host",
-          rate_text(on_each * from.claims.log_size.slope),
+          rate_text(claims_per_host * from.claims.log_size.slope),
           "",
           basis::assumed,
           "group commit"},
          {"processor, applying",
-          core_text(on_each * from.claims.apply_time.slope),
+          core_text(claims_per_host * from.claims.apply_time.slope),
           "",
           basis::assumed,
           "on each host"},
--- a/bench/capacity/model.hpp
+++ b/bench/capacity/model.hpp
@@ -25,7 +25,7 @@
     std::string what;
     std::string value;
     std::string limit;
-    basis rests_on = basis::derived;
+    basis value_basis = basis::derived;
     std::string mechanism;
 };
 
@@ -39,7 +39,7 @@
 [[nodiscard]] role relay_role(const slopes& from);
 [[nodiscard]] role voter_role(const slopes& from);
 [[nodiscard]] role claims_role(const slopes& from);
-[[nodiscard]] role bad_hours(const slopes& from);
+[[nodiscard]] role failure_scenarios(const slopes& from);
 
 // 12345678 bytes as "12 MB".
 [[nodiscard]] std::string bytes_text(double bytes);
--- a/bench/capacity/model_bad_hours.cpp
+++ b/bench/capacity/model_failure_scenarios.cpp
@@ -5,7 +5,7 @@
 {
 
 // Peaks, spread as the mechanisms spread them.
-role bad_hours(const slopes& from)
+role failure_scenarios(const slopes& from)
 {
     using namespace planned;
     const auto classes = services * classes_a_service;
@@ -29,8 +29,11 @@
         "Bad hours",
         {{"a data centre returns: whole configurations and views from each of "
           "its control hosts",
-          number_text(returning / own_hosts / return_seconds) + " daemons/s, " +
-              rate_text(returning / own_hosts / return_seconds * first_sync),
+          number_text(returning / own_hosts / reconnect_spread_seconds) +
+              " daemons/s, " +
+              rate_text(
+                  returning / own_hosts / reconnect_spread_seconds *
+                  first_sync),
           "",
           basis::assumed,
           number_text(returning) + " daemons come back over 60 s"},
@@ -71,7 +74,7 @@
          {"a control leader is lost in a burst of ten times the mean",
           number_text(burst * election_seconds) + " changes wait, then " +
               bytes_text(fan_out) + " from each relay",
-          number_text(seconds_to_force) + " s",
+          number_text(rollout_limit_seconds) + " s",
           basis::assumed,
           "resends with the same change id; election of about 1 s, then one "
           "long poll that is answered at once"},
--- a/bench/capacity/planned_size.hpp
+++ b/bench/capacity/planned_size.hpp
@@ -12,7 +12,7 @@
 inline constexpr double data_centers = 8;
 inline constexpr double regions = 3;
 inline constexpr double changes_a_day = 18'000;
-inline constexpr double seconds_to_force = 4;
+inline constexpr double rollout_limit_seconds = 4;
 inline constexpr double node_core_share = 0.011;
 inline constexpr double node_memory = 64e6;
 inline constexpr double node_bytes_a_second = 26e3;
@@ -36,7 +36,7 @@
 inline constexpr double expiry_passes_a_second =
     1 / (lease_seconds - 1 / syncs_a_second);
 inline constexpr double failover_seconds = 0.5;
-inline constexpr double return_seconds = 60;
+inline constexpr double reconnect_spread_seconds = 60;
 inline constexpr double retention_seconds = 24.0 * 3600;
 inline constexpr double table_bytes = 1024.0 * 1024 * 1024;
 inline constexpr double claim_groups = 4;
--- a/bench/capacity/slopes.hpp
+++ b/bench/capacity/slopes.hpp
@@ -11,11 +11,12 @@
 
 struct membership_slopes
 {
-    measurement lease_memory;  // bytes, by leases in a registry
-    measurement renewal_time;  // ns, by renewals
-    measurement expire_time;   // ns of one pass, by leases
-    measurement idle_time;     // ns, by syncs without news
-    measurement quiet_time;    // ns of a second of quiet exchanges, by leases
+    measurement lease_memory;   // bytes, by leases in a registry
+    measurement renewal_time;   // ns, by renewals
+    measurement expire_time;    // ns of one pass, by leases
+    measurement idle_sync_time; // ns, by syncs without news
+    measurement
+        idle_exchange_time;    // ns of a second of quiet exchanges, by leases
     measurement apply_time;    // ns, by leases of another control host
     measurement request_size;  // bytes of a sync request, by services
     measurement reply_size;    // bytes of a complete reply, by upstreams
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -59,7 +59,7 @@
     return sorted[static_cast<std::size_t>(last * share)];
 }
 
-messages::change declare(std::uint64_t number)
+messages::change make_declaration(std::uint64_t number)
 {
     const auto name = "class-" + std::to_string(number);
     messages::change change;
@@ -75,11 +75,11 @@
 }
 
 // The first change declares the class, the others set its target.
-messages::change change_number(std::uint64_t number)
+messages::change make_change(std::uint64_t number)
 {
     if (number == 0)
     {
-        return declare(0);
+        return make_declaration(0);
     }
     messages::change change;
     change.set_change_id("change-" + std::to_string(number));
@@ -175,7 +175,7 @@
     std::vector<double> latencies;
 };
 
-asio::awaitable<void> claim_in_turn(control_logs& logs, load& work)
+asio::awaitable<void> claim_sequentially(control_logs& logs, load& work)
 {
     for (auto number = work.next++; number < work.total; number = work.next++)
     {
@@ -207,7 +207,9 @@
     for (std::size_t i = 0; i < callers; ++i)
     {
         asio::co_spawn(
-            entry.context(), claim_in_turn(entry.logs(), work), asio::detached);
+            entry.context(),
+            claim_sequentially(entry.logs(), work),
+            asio::detached);
     }
     while (work.running > 0)
     {
@@ -239,7 +241,7 @@
     {
         const auto sent = host_clock().now();
         const auto result =
-            leader.get(leader.logs().propose_change(change_number(i)));
+            leader.get(leader.logs().propose_change(make_change(i)));
         latencies.push_back(milliseconds(host_clock().now() - sent));
         refused += result.verdict() == messages::change_accepted ? 0 : 1;
     }
@@ -262,14 +264,14 @@
     deployment control(size, folder);
     const auto first = control.leader(0);
     auto& leader = *control.hosts[first];
-    leader.get(leader.logs().propose_change(change_number(0)));
+    leader.get(leader.logs().propose_change(make_change(0)));
     control.hosts[first].reset();
     const auto begun = host_clock().now();
     auto& other = *control.hosts[(first + 1) % size];
     messages::change_result result;
     do
     {
-        result = other.get(other.logs().propose_change(change_number(1)));
+        result = other.get(other.logs().propose_change(make_change(1)));
     } while (result.verdict() == messages::change_unavailable);
     std::printf(
         "election hosts=%zu until-accepted=%.0fms\n",
@@ -277,7 +279,7 @@
         milliseconds(host_clock().now() - begun));
 }
 
-class no_listener
+class null_listener
 {
 public:
     void send(const messages::replica_message&)
@@ -314,7 +316,7 @@
     snapshot_policy policy;
     policy.entries_between = snapshot ? 512 : 1'000'000'000;
     policy.log_to_snapshot_ratio = snapshot ? 2.0 : 1e9;
-    no_listener listener;
+    null_listener listener;
     auto now = host_clock().now();
     {
         auto target = file_disk::open(folder);
@@ -334,7 +336,7 @@
         for (std::uint64_t i = 0; i < count; ++i)
         {
             messages::log_entry entry;
-            *entry.mutable_configuration_change() = change_number(i);
+            *entry.mutable_configuration_change() = make_change(i);
             static_cast<void>(opened.core().propose(entry, now));
             if (i % 100 == 99)
             {
@@ -369,7 +371,7 @@
     messages::log_entry change;
     change.set_index(1'000'000);
     change.set_term(10);
-    *change.mutable_configuration_change() = change_number(1);
+    *change.mutable_configuration_change() = make_change(1);
     messages::replica_message heartbeat;
     heartbeat.set_from(~std::uint64_t{0});
     heartbeat.set_to(~std::uint64_t{0});
@@ -422,9 +424,9 @@
     measure_sync(folder / "sync");
     for (const std::size_t size : {3, 5})
     {
-        const auto place = folder / std::to_string(size);
+        const auto size_folder = folder / std::to_string(size);
         {
-            deployment control(size, place / "load");
+            deployment control(size, size_folder / "load");
             measure_changes(control, 500);
             // Until each claim group is led where it belongs.
             std::this_thread::sleep_for(std::chrono::seconds(5));
@@ -436,7 +438,7 @@
         for (int i = 0; i < 5; ++i)
         {
             const auto name = "elect-" + std::to_string(i);
-            measure_election(size, place / name);
+            measure_election(size, size_folder / name);
         }
     }
     for (const std::uint64_t count : {1'000, 20'000})
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -44,12 +44,12 @@
 
 // One after the other, direct and through the daemons in turn, so that both
 // see the same state of the machine.
-class side_by_side
+class paired_latency
 {
 public:
-    side_by_side(const std::string& direct, const std::string& through)
+    paired_latency(const std::string& direct, const std::string& proxied)
         : direct_(ts::parse_endpoint(direct))
-        , through_(ts::parse_endpoint(through))
+        , proxied_(ts::parse_endpoint(proxied))
     {
     }
 
@@ -86,7 +86,7 @@
         for (std::uint32_t i = 0; i < warm_up_calls + calls; ++i)
         {
             const double direct = co_await call(direct_);
-            const double path = co_await call(through_);
+            const double path = co_await call(proxied_);
             if (i >= warm_up_calls)
             {
                 direct_us_.push_back(direct);
@@ -112,7 +112,7 @@
     ts::async_http_client client_{context_};
     ts::http_request request_ = view_request();
     ts::tcp_endpoint direct_;
-    ts::tcp_endpoint through_;
+    ts::tcp_endpoint proxied_;
     std::vector<double> direct_us_;
     std::vector<double> path_us_;
 };
@@ -132,7 +132,7 @@
         const auto before = std::chrono::steady_clock::now();
         for (std::uint32_t i = 0; i < concurrent_callers; ++i)
         {
-            asio::co_spawn(context_, call_again(), asio::detached);
+            asio::co_spawn(context_, call_repeatedly(), asio::detached);
         }
         context_.run();
         const std::chrono::duration<double> taken =
@@ -140,19 +140,19 @@
         return taken.count();
     }
 
-    [[nodiscard]] std::uint32_t refused() const
+    [[nodiscard]] std::uint32_t failed() const
     {
-        return refused_;
+        return failed_;
     }
 
 private:
-    asio::awaitable<void> call_again()
+    asio::awaitable<void> call_repeatedly()
     {
         while (left_ > 0)
         {
             --left_;
             const auto result = co_await client_.call(to_, request_, timeout);
-            refused_ += result && result->status == 200 ? 0 : 1;
+            failed_ += result && result->status == 200 ? 0 : 1;
         }
     }
 
@@ -161,25 +161,25 @@
     ts::http_request request_ = view_request();
     ts::tcp_endpoint to_;
     std::uint32_t left_ = 0;
-    std::uint32_t refused_ = 0;
+    std::uint32_t failed_ = 0;
 };
 
-void measure_throughput(ts::deployment& here, std::uint32_t calls)
+void measure_throughput(ts::deployment& cluster, std::uint32_t calls)
 {
-    const auto used = [&here]
+    const auto used = [&cluster]
     {
-        return here.daemon(0).processor_time() +
-               here.daemon(1).processor_time();
+        return cluster.daemon(0).processor_time() +
+               cluster.daemon(1).processor_time();
     };
     const auto before = used();
-    closed_loop loop(here.daemon_callers(0));
+    closed_loop loop(cluster.daemon_callers(0));
     const double seconds = loop.run(calls);
     const std::chrono::duration<double> processor = used() - before;
     std::printf(
         "throughput    %.0f calls/s with %u callers, %u not completed\n",
         calls / seconds,
         concurrent_callers,
-        loop.refused());
+        loop.failed());
     std::printf(
         "processor     %.1f us a call in both daemons together, %.0f calls/s "
         "per core and hop pair\n",
@@ -198,21 +198,21 @@
         std::cerr << "path_bench: the deployment doesn't start\n";
         return 1;
     }
-    auto& here = **started;
-    const auto idle = here.daemon(0).resident_memory_kib();
-    if (!here.wait_served(ts::offered_view(1)))
+    auto& cluster = **started;
+    const auto idle = cluster.daemon(0).resident_memory_kib();
+    if (!cluster.wait_served(ts::offered_view(1)))
     {
         std::cerr << "path_bench: views aren't served\n";
         return 1;
     }
     std::printf("idle daemon   %.1f MB resident\n", idle / 1024.0);
-    side_by_side pair(here.upstream_address(1), here.daemon_callers(0));
+    paired_latency pair(cluster.upstream_address(1), cluster.daemon_callers(0));
     pair.run(calls);
     pair.print();
-    measure_throughput(here, calls);
+    measure_throughput(cluster, calls);
     std::printf(
         "after load    %.1f MB resident\n",
-        here.daemon(0).resident_memory_kib() / 1024.0);
+        cluster.daemon(0).resident_memory_kib() / 1024.0);
     return 0;
 }
 
--- a/bench/policy/naive.cpp
+++ b/bench/policy/naive.cpp
@@ -14,39 +14,39 @@
 
 naive_admission::naive_admission(std::size_t limit, std::size_t connections)
     : limit_(limit)
-    , most_waiting_(connections - std::min(connections, limit))
+    , max_waiting_(connections - std::min(connections, limit))
 {
 }
 
 arrival_result
 naive_admission::arrive(const call_info& call, time_point /*now*/)
 {
-    settled_.clear();
+    outcomes_.clear();
     if (running_.size() < limit_)
     {
         running_.insert(call.ticket);
-        return {admitted{}, settled_};
+        return {admitted{}, outcomes_};
     }
-    if (queue_.size() < most_waiting_)
+    if (queue_.size() < max_waiting_)
     {
         queue_.push_back(call.ticket);
-        return {queued{}, settled_};
+        return {queued{}, outcomes_};
     }
-    return {refused{refusal_reason::overload, duration(0)}, settled_};
+    return {refused{refusal_reason::overload, duration(0)}, outcomes_};
 }
 
 std::span<const queue_outcome> naive_admission::finish(
     ticket_id ticket, call_result /*result*/, time_point /*now*/)
 {
-    settled_.clear();
+    outcomes_.clear();
     running_.erase(ticket);
     while (running_.size() < limit_ && !queue_.empty())
     {
         running_.insert(queue_.front());
-        settled_.push_back({queue_.front(), admitted{}});
+        outcomes_.push_back({queue_.front(), admitted{}});
         queue_.pop_front();
     }
-    return settled_;
+    return outcomes_;
 }
 
 std::span<const queue_outcome>
@@ -58,8 +58,8 @@
 
 std::span<const queue_outcome> naive_admission::tick(time_point /*now*/)
 {
-    settled_.clear();
-    return settled_;
+    outcomes_.clear();
+    return outcomes_;
 }
 
 std::optional<time_point> naive_admission::next_event() const
--- a/bench/policy/naive.hpp
+++ b/bench/policy/naive.hpp
@@ -37,10 +37,10 @@
 
 private:
     std::size_t limit_;
-    std::size_t most_waiting_;
+    std::size_t max_waiting_;
     std::unordered_set<ticket_id> running_;
     std::deque<ticket_id> queue_;
-    std::vector<queue_outcome> settled_;
+    std::vector<queue_outcome> outcomes_;
 };
 
 class naive_router
--- a/bench/policy/policy_bench.cpp
+++ b/bench/policy/policy_bench.cpp
@@ -34,7 +34,7 @@
     manual_clock clock;
     std::deque<ticket_id> running;
     std::uint64_t id = 0;
-    const auto note = [&running](const queue_outcome& each)
+    const auto record_admitted = [&running](const queue_outcome& each)
     {
         if (std::holds_alternative<admitted>(each.verdict))
         {
@@ -44,12 +44,13 @@
     const auto arrive = [&]
     {
         const call_info call = make_call(engine, clock.now(), ++id);
-        const arrival_result at = admission.arrive(call, clock.now());
-        if (std::holds_alternative<admitted>(at.verdict))
+        const arrival_result arrival = admission.arrive(call, clock.now());
+        if (std::holds_alternative<admitted>(arrival.verdict))
         {
             running.push_back(call.ticket);
         }
-        std::for_each(at.outcomes.begin(), at.outcomes.end(), note);
+        std::for_each(
+            arrival.outcomes.begin(), arrival.outcomes.end(), record_admitted);
     };
     const auto in_flight = static_cast<std::size_t>(state.range(0));
     for (std::size_t count = 0; count < in_flight; ++count)
@@ -64,9 +65,9 @@
         {
             const ticket_id ticket = running.front();
             running.pop_front();
-            const auto settled =
+            const auto outcomes =
                 admission.finish(ticket, call_result::ok, clock.now());
-            std::for_each(settled.begin(), settled.end(), note);
+            std::for_each(outcomes.begin(), outcomes.end(), record_admitted);
         }
     }
     state.counters["in_flight"] =
--- a/bench/policy/replay.hpp
+++ b/bench/policy/replay.hpp
@@ -31,7 +31,7 @@
     [[nodiscard]] report run();
 
 private:
-    using host = sim_host<Decisions>;
+    using host = simulated_host<Decisions>;
 
     // Clients.
     void schedule_arrival(std::size_t work_class, duration from);
@@ -39,9 +39,9 @@
     void send_try(serial request);
     void enter(serial client);
     void answer_client(serial client, const try_answer& answer);
-    void client_hears(serial client, const try_answer& answer);
+    void receive_client_answer(serial client, const try_answer& answer);
     void client_gives_up(serial client);
-    void client_tries_again(serial request, duration told);
+    void client_tries_again(serial request, duration min_pause);
 
     // Hops.
     void start_call(
@@ -53,29 +53,30 @@
     void start_try(serial call);
     void give_up_try(serial call, serial ticket);
     void arrive(serial call, serial ticket);
-    void apply(std::size_t at, std::span<const queue_outcome> settled);
-    void settle_one(std::size_t at, const queue_outcome& one);
+    void apply(std::size_t at, std::span<const queue_outcome> outcomes);
+    void apply_outcome(std::size_t at, const queue_outcome& one);
     void reply(hop_call& call, const try_answer& answer);
-    void hear(serial call, serial ticket, const try_answer& answer);
-    void note_health(const hop_call& call, const try_answer& answer);
+    void receive_reply(serial call, serial ticket, const try_answer& answer);
+    void record_outcome(const hop_call& call, const try_answer& answer);
     void end_call(serial call, const try_answer& answer);
     void abort_calls(client_try& client);
     void abort(hop_call& call);
 
     // Upstreams.
-    void hand_over(std::size_t at, hop_call& call);
+    void dispatch(std::size_t at, hop_call& call);
     void begin_work(hop_call& call);
     void first_half_done(serial call, serial ticket);
     void sub_call_done(hop_call& call, const try_answer& answer);
     void work_done(serial call, serial ticket);
-    void leave_slot(std::size_t at);
-    void end_at(std::size_t at, serial ticket, call_result result);
+    void release_slot(std::size_t at);
+    void finish_call(std::size_t at, serial ticket, call_result result);
     void schedule_wake(std::size_t at);
     void wake(std::size_t at);
 
     [[nodiscard]] duration work_time(const hop_call& call);
-    [[nodiscard]] duration distance(std::size_t from, std::size_t to) const;
-    [[nodiscard]] call_info facts_of(const hop_call& call) const;
+    [[nodiscard]] duration
+    network_delay(std::size_t from, std::size_t to) const;
+    [[nodiscard]] call_info call_info_of(const hop_call& call) const;
     [[nodiscard]] hop_call* find(serial call, serial ticket);
     [[nodiscard]] const trace_class& class_of(const client_try& client) const;
     [[nodiscard]] const trace_class& class_of(const hop_call& call) const;
@@ -89,12 +90,12 @@
     report report_;
     std::vector<host> hosts_;
     // Hosts of each service.
-    std::vector<std::vector<std::size_t>> of_service_;
+    std::vector<std::vector<std::size_t>> hosts_by_service_;
     std::unordered_map<serial, client_request> requests_;
     std::unordered_map<serial, client_try> clients_;
     std::unordered_map<serial, hop_call> calls_;
     std::unordered_map<serial, serial> call_of_ticket_;
-    serial last_ = 0;
+    serial last_serial_ = 0;
 };
 
 template <class Decisions>
--- a/bench/policy/replay_clients.hpp
+++ b/bench/policy/replay_clients.hpp
@@ -91,11 +91,11 @@
     client_request request;
     request.work_class = work_class;
     request.offered_at = events_.now();
-    const bool first = uniform_unit(engine_) < one.first_share;
+    const bool first = uniform_unit(engine_) < one.first_customer_share;
     request.customer = first || one.customers == 1
                            ? 1
                            : 2 + uniform_below(engine_, one.customers - 1);
-    const serial id = ++last_;
+    const serial id = ++last_serial_;
     requests_.emplace(id, request);
     ++slice_of(request).all.offered;
     class_report& counts = report_.classes[work_class];
@@ -121,18 +121,19 @@
 template <class Decisions>
 void replay<Decisions>::send_try(serial request)
 {
-    client_request& asked = requests_.at(request);
-    ++asked.tries;
+    client_request& request_state = requests_.at(request);
+    ++request_state.tries;
     ++report_.client_tries;
-    const serial id = ++last_;
+    const serial id = ++last_serial_;
     client_try client;
     client.request = request;
     client.entry = uniform_below(engine_, hosts_.size());
     client.sent_at = events_.now();
-    client.deadline = events_.now() + load_.classes[asked.work_class].target;
+    client.deadline =
+        events_.now() + load_.classes[request_state.work_class].target;
     clients_.emplace(id, client);
     events_.after(
-        load_.to_clients,
+        load_.client_delay,
         [this, id]
         {
             enter(id);
@@ -149,29 +150,30 @@
 void replay<Decisions>::enter(serial client)
 {
     client_try& one = clients_.at(client);
-    if (!one.wanted)
+    if (!one.client_waiting)
     {
         return;
     }
-    client_request& asked = requests_.at(one.request);
+    client_request& request_state = requests_.at(one.request);
     host& entry = hosts_[one.entry];
-    const bool again =
-        entry.keys.is_repeated(one.request, events_.now()) || asked.tries > 1;
-    one.tokens = entry.budgets[asked.work_class].begin(again);
+    const bool again = entry.keys.is_repeated(one.request, events_.now()) ||
+                       request_state.tries > 1;
+    one.tokens = entry.budgets[request_state.work_class].begin(again);
     if constexpr (Decisions::gated)
     {
-        hop_call outline;
-        outline.client = client;
-        const auto refusal = entry.gate.check(facts_of(outline), events_.now());
+        hop_call first_call;
+        first_call.client = client;
+        const auto refusal =
+            entry.gate.check(call_info_of(first_call), events_.now());
         if (refusal)
         {
-            entry.budgets[asked.work_class].end(one.tokens, one.tokens);
+            entry.budgets[request_state.work_class].end(one.tokens, one.tokens);
             one.tokens = 0;
             answer_client(
                 client,
                 {.how = try_failure::overload,
                  .certainly_not_run = true,
-                 .come_back = jittered(refusal->retry_after, engine_)});
+                 .retry_after = jittered(refusal->retry_after, engine_)});
             return;
         }
     }
@@ -182,45 +184,46 @@
 void replay<Decisions>::answer_client(serial client, const try_answer& answer)
 {
     events_.after(
-        load_.to_clients,
+        load_.client_delay,
         [this, client, answer]
         {
-            client_hears(client, answer);
+            receive_client_answer(client, answer);
         });
 }
 
 template <class Decisions>
-void replay<Decisions>::client_hears(serial client, const try_answer& answer)
+void replay<Decisions>::receive_client_answer(
+    serial client, const try_answer& answer)
 {
     client_try& one = clients_.at(client);
-    client_request& asked = requests_.at(one.request);
-    if (!one.wanted)
+    client_request& request_state = requests_.at(one.request);
+    if (!one.client_waiting)
     {
         clients_.erase(client);
         return;
     }
-    one.wanted = false;
+    one.client_waiting = false;
     if (!answer.ok)
     {
         const serial request = one.request;
         clients_.erase(client);
-        client_tries_again(request, answer.come_back);
+        client_tries_again(request, answer.retry_after);
         return;
     }
-    asked.done = true;
-    class_report& counts = report_.classes[asked.work_class];
+    request_state.done = true;
+    class_report& counts = report_.classes[request_state.work_class];
     counts.latencies.push_back(
         std::chrono::duration<double>(events_.now() - one.sent_at).count());
     ++counts.total.completed;
-    time_slice& when = slice_of(asked);
+    time_slice& when = slice_of(request_state);
     ++when.all.completed;
-    when.at_first_try += asked.tries == 1 ? 1 : 0;
-    const duration offered = asked.offered_at - manual_clock().now();
+    when.at_first_try += request_state.tries == 1 ? 1 : 0;
+    const duration offered = request_state.offered_at - manual_clock().now();
     if (load_.surge_from <= offered && offered < load_.surge_to)
     {
         ++counts.in_surge.completed;
-        ++(asked.customer == 1 ? counts.first_customer_in_surge
-                               : counts.other_customers_in_surge)
+        ++(request_state.customer == 1 ? counts.first_customer_in_surge
+                                       : counts.other_customers_in_surge)
               .completed;
     }
     const duration now = events_.elapsed();
@@ -235,12 +238,12 @@
 void replay<Decisions>::client_gives_up(serial client)
 {
     const auto found = clients_.find(client);
-    if (found == clients_.end() || !found->second.wanted)
+    if (found == clients_.end() || !found->second.client_waiting)
     {
         return;
     }
     client_try& one = found->second;
-    one.wanted = false;
+    one.client_waiting = false;
     if constexpr (Decisions::cancels)
     {
         abort_calls(one);
@@ -249,17 +252,17 @@
 }
 
 template <class Decisions>
-void replay<Decisions>::client_tries_again(serial request, duration told)
+void replay<Decisions>::client_tries_again(serial request, duration min_pause)
 {
-    const client_request& asked = requests_.at(request);
-    if (asked.tries >= load_.clients.tries)
+    const client_request& request_state = requests_.at(request);
+    if (request_state.tries >= load_.clients.tries)
     {
         return;
     }
     duration pause = jittered(load_.clients.pause, engine_);
-    if (load_.clients.wait_as_told)
+    if (load_.clients.honor_retry_after)
     {
-        pause = std::max(pause, told);
+        pause = std::max(pause, min_pause);
     }
     events_.after(
         pause,
--- a/bench/policy/replay_hops.hpp
+++ b/bench/policy/replay_hops.hpp
@@ -10,13 +10,13 @@
 template <class Decisions>
 void replay<Decisions>::build_hosts()
 {
-    of_service_.resize(load_.services.size());
+    hosts_by_service_.resize(load_.services.size());
     for (std::size_t service = 0; service < load_.services.size(); ++service)
     {
         const trace_service& one = load_.services[service];
         for (std::size_t index = 0; index < one.upstreams; ++index)
         {
-            of_service_[service].push_back(hosts_.size());
+            hosts_by_service_[service].push_back(hosts_.size());
             hosts_.push_back(
                 {.service = service,
                  .index = index,
@@ -43,7 +43,7 @@
     for (std::size_t service = 0; service < load_.services.size(); ++service)
     {
         std::vector<candidate> candidates;
-        for (const std::size_t other : of_service_[service])
+        for (const std::size_t other : hosts_by_service_[service])
         {
             const bool near = hosts_[other].data_center == one.data_center;
             candidates.push_back(
@@ -69,24 +69,24 @@
 }
 
 template <class Decisions>
-call_info replay<Decisions>::facts_of(const hop_call& call) const
+call_info replay<Decisions>::call_info_of(const hop_call& call) const
 {
     const client_try& client = clients_.at(call.client);
     const client_request& request = requests_.at(client.request);
     const trace_class& one = class_of(client);
-    call_info facts;
-    facts.ticket = ticket_id(call.ticket);
-    facts.rank = one.rank;
-    facts.customer = stable_hash("customer", request.customer);
-    facts.work_class = stable_hash(one.name);
-    facts.request = stable_hash("request", call.client);
-    facts.deadline = client.deadline - load_.to_clients;
-    facts.target = one.target - load_.to_clients * 2;
+    call_info info;
+    info.ticket = ticket_id(call.ticket);
+    info.rank = one.rank;
+    info.customer = stable_hash("customer", request.customer);
+    info.work_class = stable_hash(one.name);
+    info.request = stable_hash("request", call.client);
+    info.deadline = client.deadline - load_.client_delay;
+    info.target = one.target - load_.client_delay * 2;
     // Only the first hop moves the whole; sub-calls are short.
-    facts.bulk = one.bulk && call.depth == 0;
-    facts.sub_call = call.depth > 0;
-    facts.repeatable = one.repeatable;
-    return facts;
+    info.bulk = one.bulk && call.depth == 0;
+    info.sub_call = call.depth > 0;
+    info.repeatable = one.repeatable;
+    return info;
 }
 
 template <class Decisions>
@@ -98,11 +98,12 @@
 }
 
 template <class Decisions>
-duration replay<Decisions>::distance(std::size_t from, std::size_t to) const
+duration
+replay<Decisions>::network_delay(std::size_t from, std::size_t to) const
 {
     // Within a data centre a tenth of a millisecond.
     const bool near = hosts_[from].data_center == hosts_[to].data_center;
-    return near ? std::chrono::microseconds(100) : load_.between;
+    return near ? std::chrono::microseconds(100) : load_.data_center_delay;
 }
 
 template <class Decisions>
@@ -115,7 +116,7 @@
 {
     client_try& one = clients_.at(client);
     hop_call call;
-    call.id = ++last_;
+    call.id = ++last_serial_;
     call.client = client;
     call.depth = depth;
     call.caller = caller;
@@ -144,10 +145,10 @@
     hop_call& one = found->second;
     const std::size_t service = class_of(one).hops[one.depth].service;
     auto& route = hosts_[one.caller].routers[service];
-    one.ticket = ++last_;
-    one.place = call_place::on_the_way;
-    const call_info facts = facts_of(one);
-    const auto chosen = route.choose(facts, one.tried, events_.now(), engine_);
+    one.ticket = ++last_serial_;
+    one.stage = call_stage::in_transit;
+    const call_info info = call_info_of(one);
+    const auto chosen = route.choose(info, one.tried, events_.now(), engine_);
     if (!chosen)
     {
         end_call(
@@ -161,19 +162,19 @@
     one.sent_tokens = split.sent;
     one.handle = *chosen;
     one.tried.push_back(*chosen);
-    one.upstream = of_service_[service][chosen->value() - 1];
+    one.upstream = hosts_by_service_[service][chosen->value() - 1];
     one.sent_at = events_.now();
-    route.on_start(*chosen, facts.bulk, events_.now());
+    route.on_start(*chosen, info.bulk, events_.now());
     events_.after(
-        distance(one.caller, one.upstream),
+        network_delay(one.caller, one.upstream),
         [this, call, ticket = one.ticket]
         {
             arrive(call, ticket);
         });
     if constexpr (Decisions::gives_up_tries)
     {
-        const auto limit = route.try_timeout(*chosen, facts.bulk);
-        if (limit && facts.repeatable)
+        const auto limit = route.try_timeout(*chosen, info.bulk);
+        if (limit && info.repeatable)
         {
             events_.after(
                 *limit,
@@ -189,13 +190,13 @@
 void replay<Decisions>::give_up_try(serial call, serial ticket)
 {
     hop_call* const one = find(call, ticket);
-    if (one == nullptr || one->place == call_place::ended || one->tokens == 0)
+    if (one == nullptr || one->stage == call_stage::ended || one->tokens == 0)
     {
         return;
     }
-    const call_info facts = facts_of(*one);
+    const call_info info = call_info_of(*one);
     auto& route = hosts_[one->caller].routers[hosts_[one->upstream].service];
-    if (!route.should_try_elsewhere(facts, one->tried, events_.now()))
+    if (!route.should_try_elsewhere(info, one->tried, events_.now()))
     {
         return;
     }
@@ -216,9 +217,9 @@
     client.calls.resize(one->depth + 1);
     --one->tokens;
     ++client.retries;
-    report_.most_retries_of_a_try =
-        std::max(report_.most_retries_of_a_try, client.retries);
-    one->place = call_place::ended;
+    report_.max_retries_per_try =
+        std::max(report_.max_retries_per_try, client.retries);
+    one->stage = call_stage::ended;
     start_try(call);
 }
 
@@ -229,51 +230,51 @@
     try_answer complete = answer;
     complete.levels.own = at.admission.level(events_.now());
     complete.levels.deeper =
-        at.levels.deeper_for(facts_of(call).work_class, events_.now());
-    call.place = call_place::ended;
+        at.levels.deeper_for(call_info_of(call).work_class, events_.now());
+    call.stage = call_stage::ended;
     call_of_ticket_.erase(call.ticket);
     events_.after(
-        distance(call.upstream, call.caller),
+        network_delay(call.upstream, call.caller),
         [this, id = call.id, ticket = call.ticket, complete]
         {
-            hear(id, ticket, complete);
+            receive_reply(id, ticket, complete);
         });
 }
 
 template <class Decisions>
-void replay<Decisions>::note_health(
+void replay<Decisions>::record_outcome(
     const hop_call& call, const try_answer& answer)
 {
-    const call_info facts = facts_of(call);
+    const call_info info = call_info_of(call);
     const time_point now = events_.now();
     host& caller = hosts_[call.caller];
     auto& route = caller.routers[hosts_[call.upstream].service];
     if (answer.ok)
     {
-        route.on_answer(call.handle, facts.bulk, now - call.sent_at, now);
+        route.on_answer(call.handle, info.bulk, now - call.sent_at, now);
     }
     else
     {
-        route.on_neutral(call.handle, facts.bulk, now);
+        route.on_neutral(call.handle, info.bulk, now);
     }
     route.on_level(call.handle, answer.levels.own, now);
     if constexpr (Decisions::gated)
     {
-        const admission_level ahead =
-            call_path_level(route, answer.levels, facts.bulk, now);
+        const admission_level path_level =
+            call_path_level(route, answer.levels, info.bulk, now);
         if (call.depth == 0)
         {
-            caller.gate.on_level(facts, ahead, now);
+            caller.gate.on_level(info, path_level, now);
         }
         else
         {
-            caller.levels.on_sub_call_level(facts.work_class, ahead, now);
+            caller.levels.on_sub_call_level(info.work_class, path_level, now);
         }
     }
 }
 
 template <class Decisions>
-void replay<Decisions>::hear(
+void replay<Decisions>::receive_reply(
     serial call, serial ticket, const try_answer& answer)
 {
     hop_call* const one = find(call, ticket);
@@ -281,23 +282,23 @@
     {
         return;
     }
-    note_health(*one, answer);
+    record_outcome(*one, answer);
     one->tokens += std::exchange(one->sent_tokens, 0);
     if (answer.ok)
     {
         end_call(call, answer);
         return;
     }
-    const call_info facts = facts_of(*one);
+    const call_info info = call_info_of(*one);
     auto& route = hosts_[one->caller].routers[hosts_[one->upstream].service];
     failed_try failed;
     failed.how = answer.how;
-    failed.repeatable = facts.repeatable;
+    failed.repeatable = info.repeatable;
     failed.certainly_not_run = answer.certainly_not_run;
     failed.tokens = one->tokens;
-    failed.time_left = facts.deadline - events_.now();
+    failed.time_left = info.deadline - events_.now();
     failed.has_alternative =
-        route.has_alternative(facts, one->tried, events_.now());
+        route.has_alternative(info, one->tried, events_.now());
     failed.tries = one->tries;
     const retry_decision verdict = Decisions::retry(failed, engine_);
     if (std::holds_alternative<no_retry>(verdict))
@@ -308,8 +309,8 @@
     one->tokens -= std::min<std::uint32_t>(one->tokens, 1);
     client_try& client = clients_.at(one->client);
     ++client.retries;
-    report_.most_retries_of_a_try =
-        std::max(report_.most_retries_of_a_try, client.retries);
+    report_.max_retries_per_try =
+        std::max(report_.max_retries_per_try, client.retries);
     duration pause{0};
     if (const auto* later = std::get_if<retry_after>(&verdict))
     {
@@ -374,9 +375,9 @@
 template <class Decisions>
 void replay<Decisions>::abort(hop_call& call)
 {
-    const bool bulk = facts_of(call).bulk;
+    const bool bulk = call_info_of(call).bulk;
     const time_point now = events_.now();
-    if (call.place != call_place::ended)
+    if (call.stage != call_stage::ended)
     {
         auto& route =
             hosts_[call.caller].routers[hosts_[call.upstream].service];
@@ -385,22 +386,22 @@
     const std::size_t at = call.upstream;
     const serial ticket = call.ticket;
     call_of_ticket_.erase(ticket);
-    switch (call.place)
+    switch (call.stage)
     {
-    case call_place::on_the_way:
-    case call_place::ended:
+    case call_stage::in_transit:
+    case call_stage::ended:
         break;
-    case call_place::waiting:
+    case call_stage::waiting:
         apply(at, hosts_[at].admission.cancel(ticket_id(ticket), now));
         break;
-    case call_place::in_backlog:
+    case call_stage::in_backlog:
         std::erase(hosts_[at].backlog, call.id);
-        end_at(at, ticket, call_result::timed_out);
+        finish_call(at, ticket, call_result::timed_out);
         break;
-    case call_place::working:
-    case call_place::in_sub_call:
-        end_at(at, ticket, call_result::timed_out);
-        leave_slot(at);
+    case call_stage::working:
+    case call_stage::in_sub_call:
+        finish_call(at, ticket, call_result::timed_out);
+        release_slot(at);
         break;
     }
 }
--- a/bench/policy/replay_main.cpp
+++ b/bench/policy/replay_main.cpp
@@ -26,23 +26,24 @@
 void print_surge(
     std::string_view name,
     std::string_view decisions,
-    double times,
+    double load_factor,
     const trace& load,
-    const report& got)
+    const report& actual)
 {
-    const auto recovered = got.recovery(load, recovered_share);
+    const auto recovered = actual.recovery(load, recovered_share);
     const std::string recovery =
         recovered ? std::to_string(*recovered / std::chrono::milliseconds(1))
                   : "none";
-    for (const class_report& one : got.classes)
+    for (const class_report& one : actual.classes)
     {
-        std::cout << name << ',' << decisions << ',' << times << ',' << one.name
-                  << ',' << int{one.rank} << ',' << one.in_surge.offered << ','
-                  << one.in_surge.share() << ',' << one.latency(0.5) * 1000
-                  << ',' << one.latency(0.99) * 1000 << ','
-                  << got.surge_goodput(load) << ',' << recovery << ','
-                  << got.tries_per_call() << ',' << got.most_retries_of_a_try
-                  << ',' << got.duplicates << '\n';
+        std::cout << name << ',' << decisions << ',' << load_factor << ','
+                  << one.name << ',' << int{one.rank} << ','
+                  << one.in_surge.offered << ',' << one.in_surge.share() << ','
+                  << one.latency(0.5) * 1000 << ',' << one.latency(0.99) * 1000
+                  << ',' << actual.surge_goodput(load) << ',' << recovery << ','
+                  << actual.tries_per_call() << ','
+                  << actual.max_retries_per_try << ',' << actual.duplicates
+                  << '\n';
     }
 }
 
@@ -55,15 +56,16 @@
         return false;
     }
     const std::string name = std::filesystem::path(file).stem().string();
-    for (const double times : loads)
+    for (const double load_factor : loads)
     {
         trace load = *base;
         scale_load(load, duration(0), load.end, base_load);
-        scale_load(load, load.surge_from, load.surge_to, times / base_load);
-        const report ours = run_replay<shipped_decisions>(load, seed);
-        print_surge(name, "shipped", times, load, ours);
+        scale_load(
+            load, load.surge_from, load.surge_to, load_factor / base_load);
+        const report shipped = run_replay<shipped_decisions>(load, seed);
+        print_surge(name, "shipped", load_factor, load, shipped);
         const report naive = run_replay<naive_decisions>(load, seed);
-        print_surge(name, "naive", times, load, naive);
+        print_surge(name, "naive", load_factor, load, naive);
     }
     return true;
 }
@@ -72,8 +74,8 @@
 trace chain(std::size_t depth)
 {
     trace load;
-    load.between = std::chrono::microseconds(500);
-    load.to_clients = std::chrono::milliseconds(3);
+    load.data_center_delay = std::chrono::microseconds(500);
+    load.client_delay = std::chrono::milliseconds(3);
     load.clients = {4, std::chrono::milliseconds(50), false};
     load.end = std::chrono::seconds(4);
     load.surge_from = std::chrono::seconds(1);
@@ -105,11 +107,11 @@
 }
 
 void print_depth(
-    std::string_view decisions, std::size_t depth, const report& got)
+    std::string_view decisions, std::size_t depth, const report& actual)
 {
-    std::cout << depth << ',' << decisions << ',' << got.tries_per_call() << ','
-              << got.most_retries_of_a_try << ','
-              << got.classes.front().in_surge.share() << '\n';
+    std::cout << depth << ',' << decisions << ',' << actual.tries_per_call()
+              << ',' << actual.max_retries_per_try << ','
+              << actual.classes.front().in_surge.share() << '\n';
 }
 
 void depths()
--- a/bench/policy/replay_test.cpp
+++ b/bench/policy/replay_test.cpp
@@ -31,9 +31,9 @@
     {
         constexpr std::array kinds{"served", "others", "recovery", "tries"};
         return std::string(
-                   kinds.at(static_cast<std::size_t>(check.stated.kind))) +
-               " " + load.classes[check.stated.work_class].name + ": bound " +
-               std::to_string(check.stated.bound) + ", measured " +
+                   kinds.at(static_cast<std::size_t>(check.expected.kind))) +
+               " " + load.classes[check.expected.work_class].name + ": bound " +
+               std::to_string(check.expected.bound) + ", measured " +
                std::to_string(check.measured);
     }
 
@@ -42,21 +42,21 @@
 
 TEST_P(recorded_trace, shipped_decisions_keep_the_stated_outcomes)
 {
-    const report got = run_replay<shipped_decisions>(load, seed);
+    const report actual = run_replay<shipped_decisions>(load, seed);
     ASSERT_FALSE(load.outcomes.empty());
-    for (const outcome_check& check : check_outcomes(load, got))
+    for (const outcome_check& check : check_outcomes(load, actual))
     {
         EXPECT_TRUE(check.met) << describe(check);
     }
-    EXPECT_EQ(got.duplicates, 0U);
-    EXPECT_LE(got.most_retries_of_a_try, tokens_per_request);
+    EXPECT_EQ(actual.duplicates, 0U);
+    EXPECT_LE(actual.max_retries_per_try, tokens_per_request);
 }
 
 // A trace that the naive decisions pass as well proves nothing.
 TEST_P(recorded_trace, naive_decisions_miss_one)
 {
-    const report got = run_replay<naive_decisions>(load, seed);
-    const auto checks = check_outcomes(load, got);
+    const report actual = run_replay<naive_decisions>(load, seed);
+    const auto checks = check_outcomes(load, actual);
     for (const outcome_check& check : checks)
     {
         RecordProperty("naive", describe(check));
--- a/bench/policy/replay_types.hpp
+++ b/bench/policy/replay_types.hpp
@@ -37,7 +37,7 @@
     std::uint32_t tokens = 0;
     std::uint32_t retries = 0;
     // The client still waits.
-    bool wanted = true;
+    bool client_waiting = true;
     // One for each depth that runs.
     std::vector<serial> calls;
     // Depths reached.
@@ -45,9 +45,9 @@
 };
 
 // Where the present try of a call is.
-enum class call_place : std::uint8_t
+enum class call_stage : std::uint8_t
 {
-    on_the_way,
+    in_transit,
     waiting,
     // In the upstream, but without a slot.
     in_backlog,
@@ -78,7 +78,7 @@
     std::size_t upstream = 0;
     std::uint32_t sent_tokens = 0;
     time_point sent_at;
-    call_place place = call_place::on_the_way;
+    call_stage stage = call_stage::in_transit;
 };
 
 // How a try ended, as its caller hears it.
@@ -87,13 +87,13 @@
     bool ok = false;
     try_failure how = try_failure::upstream_failed;
     bool certainly_not_run = false;
-    duration come_back{0};
+    duration retry_after{0};
     answer_levels levels{};
 };
 
 // One upstream with the daemon beside it.
 template <class Decisions>
-struct sim_host
+struct simulated_host
 {
     std::size_t service = 0;
     // Counted within its service.
--- a/bench/policy/replay_upstreams.hpp
+++ b/bench/policy/replay_upstreams.hpp
@@ -17,37 +17,37 @@
     }
     const std::size_t at = one->upstream;
     call_of_ticket_[ticket] = call;
-    one->place = call_place::waiting;
+    one->stage = call_stage::waiting;
     const arrival_result verdict =
-        hosts_[at].admission.arrive(facts_of(*one), events_.now());
+        hosts_[at].admission.arrive(call_info_of(*one), events_.now());
     // Handling the others asks the admission again, and ends the span.
     const std::vector<queue_outcome> others(
         verdict.outcomes.begin(), verdict.outcomes.end());
     if (std::holds_alternative<admitted>(verdict.verdict))
     {
-        settle_one(at, {ticket_id(ticket), admitted{}});
+        apply_outcome(at, {ticket_id(ticket), admitted{}});
     }
     else if (const auto* refusal = std::get_if<refused>(&verdict.verdict))
     {
-        settle_one(at, {ticket_id(ticket), *refusal});
+        apply_outcome(at, {ticket_id(ticket), *refusal});
     }
     apply(at, others);
 }
 
 template <class Decisions>
 void replay<Decisions>::apply(
-    std::size_t at, std::span<const queue_outcome> settled)
+    std::size_t at, std::span<const queue_outcome> outcomes)
 {
-    const std::vector<queue_outcome> all(settled.begin(), settled.end());
+    const std::vector<queue_outcome> all(outcomes.begin(), outcomes.end());
     for (const queue_outcome& one : all)
     {
-        settle_one(at, one);
+        apply_outcome(at, one);
     }
     schedule_wake(at);
 }
 
 template <class Decisions>
-void replay<Decisions>::settle_one(std::size_t at, const queue_outcome& one)
+void replay<Decisions>::apply_outcome(std::size_t at, const queue_outcome& one)
 {
     const auto ticket = call_of_ticket_.find(one.ticket.value());
     if (ticket == call_of_ticket_.end())
@@ -61,14 +61,14 @@
             call,
             {.how = try_failure::overload,
              .certainly_not_run = true,
-             .come_back = refusal->retry_after});
+             .retry_after = refusal->retry_after});
         return;
     }
-    hand_over(at, call);
+    dispatch(at, call);
 }
 
 template <class Decisions>
-void replay<Decisions>::hand_over(std::size_t at, hop_call& call)
+void replay<Decisions>::dispatch(std::size_t at, hop_call& call)
 {
     host& here = hosts_[at];
     const trace_service& service = load_.services[here.service];
@@ -80,13 +80,13 @@
     }
     if (service.slots + here.backlog.size() < service.connections)
     {
-        call.place = call_place::in_backlog;
+        call.stage = call_stage::in_backlog;
         here.backlog.push_back(call.id);
         return;
     }
     const serial ticket = call.ticket;
     reply(call, {.how = try_failure::overload, .certainly_not_run = true});
-    end_at(at, ticket, call_result::shed_by_upstream);
+    finish_call(at, ticket, call_result::shed_by_upstream);
 }
 
 template <class Decisions>
@@ -114,14 +114,16 @@
 template <class Decisions>
 void replay<Decisions>::begin_work(hop_call& call)
 {
-    call.place = call_place::working;
+    call.stage = call_stage::working;
     const bool last = call.depth + 1 == class_of(call).hops.size();
     if (last)
     {
-        client_request& asked = requests_.at(clients_.at(call.client).request);
-        ++asked.runs;
-        const bool twice = asked.runs > 1 && !class_of(call).repeatable;
-        report_.duplicates += twice ? 1 : 0;
+        client_request& request_state =
+            requests_.at(clients_.at(call.client).request);
+        ++request_state.runs;
+        const bool duplicate =
+            request_state.runs > 1 && !class_of(call).repeatable;
+        report_.duplicates += duplicate ? 1 : 0;
     }
     const duration work = last ? work_time(call) : work_time(call) / 2;
     events_.after(
@@ -147,7 +149,7 @@
     {
         return;
     }
-    one->place = call_place::in_sub_call;
+    one->stage = call_stage::in_sub_call;
     hosts_[one->upstream].admission.sub_call_started(
         ticket_id(ticket), events_.now());
     const std::uint32_t tokens = std::exchange(one->sent_tokens, 0);
@@ -164,7 +166,7 @@
     hosts_[at].admission.sub_call_ended(ticket_id(ticket), events_.now());
     if (answer.ok)
     {
-        call.place = call_place::working;
+        call.stage = call_stage::working;
         events_.after(
             work_time(call) / 2,
             [this, id = call.id, ticket]
@@ -180,9 +182,9 @@
         {.how =
              full ? try_failure::overload_deeper : try_failure::upstream_failed,
          .certainly_not_run = answer.certainly_not_run,
-         .come_back = answer.come_back});
-    end_at(at, ticket, call_result::failed);
-    leave_slot(at);
+         .retry_after = answer.retry_after});
+    finish_call(at, ticket, call_result::failed);
+    release_slot(at);
 }
 
 template <class Decisions>
@@ -195,12 +197,12 @@
     }
     const std::size_t at = one->upstream;
     reply(*one, {.ok = true});
-    end_at(at, ticket, call_result::ok);
-    leave_slot(at);
+    finish_call(at, ticket, call_result::ok);
+    release_slot(at);
 }
 
 template <class Decisions>
-void replay<Decisions>::leave_slot(std::size_t at)
+void replay<Decisions>::release_slot(std::size_t at)
 {
     host& here = hosts_[at];
     --here.busy;
@@ -215,7 +217,7 @@
 }
 
 template <class Decisions>
-void replay<Decisions>::end_at(
+void replay<Decisions>::finish_call(
     std::size_t at, serial ticket, call_result result)
 {
     apply(
--- a/bench/policy/report.cpp
+++ b/bench/policy/report.cpp
@@ -12,10 +12,11 @@
 // Half a second of slices has to be good at a stretch.
 constexpr std::size_t good_slices = 5;
 
-double measure(const trace_outcome& stated, const trace& of, const report& got)
+double
+measure(const trace_outcome& expected, const trace& of, const report& actual)
 {
-    const class_report& one = got.classes[stated.work_class];
-    switch (stated.kind)
+    const class_report& one = actual.classes[expected.work_class];
+    switch (expected.kind)
     {
     case outcome_kind::served:
         return one.in_surge.share();
@@ -23,14 +24,14 @@
         return one.other_customers_in_surge.share();
     case outcome_kind::recovery:
     {
-        const auto took = got.recovery(of, recovered_share);
+        const auto took = actual.recovery(of, recovered_share);
         return std::chrono::duration<double, std::milli>(took.value_or(of.end))
             .count();
     }
     case outcome_kind::tries:
         break;
     }
-    return got.tries_per_call();
+    return actual.tries_per_call();
 }
 
 bool is_share(outcome_kind kind)
@@ -40,15 +41,15 @@
 
 } // namespace
 
-std::vector<outcome_check> check_outcomes(const trace& of, const report& got)
+std::vector<outcome_check> check_outcomes(const trace& of, const report& actual)
 {
     std::vector<outcome_check> checks;
-    for (const trace_outcome& stated : of.outcomes)
+    for (const trace_outcome& expected : of.outcomes)
     {
-        const double measured = measure(stated, of, got);
-        const bool met = is_share(stated.kind) ? measured >= stated.bound
-                                               : measured <= stated.bound;
-        checks.push_back({stated, measured, met});
+        const double measured = measure(expected, of, actual);
+        const bool met = is_share(expected.kind) ? measured >= expected.bound
+                                                 : measured <= expected.bound;
+        checks.push_back({expected, measured, met});
     }
     return checks;
 }
@@ -67,10 +68,10 @@
         return 0;
     }
     std::vector<double> sorted = latencies;
-    const auto place = static_cast<std::ptrdiff_t>(
+    const auto index = static_cast<std::ptrdiff_t>(
         quantile * static_cast<double>(sorted.size() - 1));
-    std::nth_element(sorted.begin(), sorted.begin() + place, sorted.end());
-    return sorted[static_cast<std::size_t>(place)];
+    std::nth_element(sorted.begin(), sorted.begin() + index, sorted.end());
+    return sorted[static_cast<std::size_t>(index)];
 }
 
 double report::tries_per_call() const
--- a/bench/policy/report.hpp
+++ b/bench/policy/report.hpp
@@ -56,7 +56,7 @@
     std::vector<std::uint64_t> calls_by_depth;
     // What one try would have made at each depth without failures.
     std::vector<std::uint64_t> first_calls_by_depth;
-    std::uint32_t most_retries_of_a_try = 0;
+    std::uint32_t max_retries_per_try = 0;
     // Completed within the surge, by when they completed.
     std::uint64_t completed_during_surge = 0;
     // Non-repeatable work that ran twice for one client's request.
@@ -75,13 +75,13 @@
 // Whether the callers got what the trace states, and what they got.
 struct outcome_check
 {
-    trace_outcome stated;
+    trace_outcome expected;
     double measured = 0;
     bool met = false;
 };
 
 [[nodiscard]] std::vector<outcome_check>
-check_outcomes(const trace& of, const report& got);
+check_outcomes(const trace& of, const report& actual);
 
 // Recovery means that this share of what is offered completes at once.
 inline constexpr double recovered_share = 0.95;
--- a/bench/policy/trace.cpp
+++ b/bench/policy/trace.cpp
@@ -145,7 +145,7 @@
     if (fields.good())
     {
         into.classes[index].customers = std::max<std::size_t>(count, 1);
-        into.classes[index].first_share = share;
+        into.classes[index].first_customer_share = share;
     }
 }
 
@@ -167,43 +167,43 @@
 
 bool read_outcome(const std::string& kind, row& fields, trace& into)
 {
-    trace_outcome stated;
+    trace_outcome expected;
     if (kind == "expect_served" || kind == "expect_others")
     {
-        stated.kind = kind == "expect_served" ? outcome_kind::served
-                                              : outcome_kind::others;
-        stated.work_class = fields.index_in(into.classes);
+        expected.kind = kind == "expect_served" ? outcome_kind::served
+                                                : outcome_kind::others;
+        expected.work_class = fields.index_in(into.classes);
     }
     else if (kind == "expect_recovery")
     {
-        stated.kind = outcome_kind::recovery;
+        expected.kind = outcome_kind::recovery;
     }
     else if (kind == "expect_tries")
     {
-        stated.kind = outcome_kind::tries;
+        expected.kind = outcome_kind::tries;
     }
     else
     {
         return false;
     }
-    stated.bound = fields.real();
-    into.outcomes.push_back(stated);
+    expected.bound = fields.real();
+    into.outcomes.push_back(expected);
     return true;
 }
 
-void read_place_or_time(const std::string& kind, row& fields, trace& into)
+void read_topology_or_time(const std::string& kind, row& fields, trace& into)
 {
     if (kind == "region")
     {
         into.data_centers = std::max<std::size_t>(fields.count(), 1);
-        into.between = fields.milliseconds();
-        into.to_clients = fields.milliseconds();
+        into.data_center_delay = fields.milliseconds();
+        into.client_delay = fields.milliseconds();
     }
     else if (kind == "clients")
     {
         into.clients.tries = static_cast<std::uint32_t>(fields.count());
         into.clients.pause = fields.milliseconds();
-        into.clients.wait_as_told = fields.count() != 0;
+        into.clients.honor_retry_after = fields.count() != 0;
     }
     else if (kind == "surge")
     {
@@ -248,7 +248,7 @@
     }
     else if (!read_outcome(kind, fields, into))
     {
-        read_place_or_time(kind, fields, into);
+        read_topology_or_time(kind, fields, into);
     }
 }
 
@@ -273,7 +273,7 @@
     for (std::size_t index = hop; index < one.hops.size(); ++index)
     {
         time += one.hops[index].work;
-        time += index > hop ? of.between : duration(0);
+        time += index > hop ? of.data_center_delay : duration(0);
     }
     return std::chrono::duration<double>(time).count();
 }
--- a/bench/policy/trace.hpp
+++ b/bench/policy/trace.hpp
@@ -3,8 +3,8 @@
 //
 // Rows, the kind first; `#` starts a comment; times in ms:
 //
-//     region,<data centers>,<one way between them ms>,<one way to clients ms>
-//     service,<name>,<upstreams>,<slots>,<connections>
+//     region,<data centers>,<one way between them ms>,<one way to
+//     clients ms> service,<name>,<upstreams>,<slots>,<connections>
 //     class,<name>,<rank>,<repeatable 0/1>,<bulk 0/1>,<target ms>
 //     hop,<class>,<service>,<mean work ms>          in the order of the chain
 //     rate,<from>,<to>,<class>,<requests a second>
@@ -67,7 +67,7 @@
     std::vector<trace_rate> rates;
     std::uint64_t customers = 1;
     // Share of the load that the first customer sends; the rest is even.
-    double first_share = 0;
+    double first_customer_share = 0;
 };
 
 // A service, or one upstream of it, that works more slowly for a while.
@@ -85,7 +85,7 @@
     std::uint32_t tries = 1;
     duration pause{0};
     // They wait as long as a refusal says.
-    bool wait_as_told = true;
+    bool honor_retry_after = true;
 };
 
 enum class outcome_kind : std::uint8_t
@@ -108,8 +108,8 @@
 struct trace
 {
     std::size_t data_centers = 1;
-    duration between{0};
-    duration to_clients{0};
+    duration data_center_delay{0};
+    duration client_delay{0};
     std::vector<trace_service> services;
     std::vector<trace_class> classes;
     std::vector<trace_slowdown> slowdowns;
--- a/bench/rollout_bench.cpp
+++ b/bench/rollout_bench.cpp
@@ -33,14 +33,14 @@
         std::cerr << "rollout_bench: the deployment doesn't start\n";
         return 1;
     }
-    const auto& here = **started;
-    const auto hosts = here.all_control_operators();
+    const auto& cluster = **started;
+    const auto hosts = cluster.all_control_operators();
     auto based_on =
         ts::settle_change(
             hosts, ts::target_change("learn", unknown_revision, "view", 1))
             .revision;
     std::vector<double> accept_ms;
-    std::vector<double> force_ms;
+    std::vector<double> in_force_ms;
     for (std::uint32_t i = 0; i < changes; ++i)
     {
         const auto change = ts::target_change(
@@ -49,16 +49,16 @@
         const auto answer = ts::settle_change(hosts, change);
         accept_ms.push_back(milliseconds_since(start));
         if (answer.outcome != ts::change_outcome::accepted ||
-            !here.wait_in_force(answer.revision))
+            !cluster.wait_in_force(answer.revision))
         {
             std::cerr << "rollout_bench: a change isn't in force\n";
             return 1;
         }
-        force_ms.push_back(milliseconds_since(start));
+        in_force_ms.push_back(milliseconds_since(start));
         based_on = answer.revision;
     }
     std::sort(accept_ms.begin(), accept_ms.end());
-    std::sort(force_ms.begin(), force_ms.end());
+    std::sort(in_force_ms.begin(), in_force_ms.end());
     std::printf(
         "%zu daemons, %u changes: accepted p50 %.1f ms, longest %.1f ms; in "
         "force everywhere p50 %.1f ms, longest %.1f ms (asking all included)\n",
@@ -66,8 +66,8 @@
         changes,
         accept_ms[changes / 2],
         accept_ms.back(),
-        force_ms[changes / 2],
-        force_ms.back());
+        in_force_ms[changes / 2],
+        in_force_ms.back());
     return 0;
 }
 
--- a/bench/wire_bench.cpp
+++ b/bench/wire_bench.cpp
@@ -42,7 +42,7 @@
 
 using microseconds = std::chrono::duration<double, std::micro>;
 
-tcp::endpoint any_port()
+tcp::endpoint loopback_endpoint()
 {
     return {asio::ip::make_address("127.0.0.1"), 0};
 }
@@ -78,7 +78,7 @@
     return head;
 }
 
-asio::awaitable<void> answer(std::shared_ptr<server_stream> stream)
+asio::awaitable<void> serve_unary(std::shared_ptr<server_stream> stream)
 {
     response_head head;
     head.fields = {
@@ -128,8 +128,8 @@
     std::vector<double> latencies;
 };
 
-asio::awaitable<void>
-ask(asio::io_context& context,
+asio::awaitable<void> send_calls(
+    asio::io_context& context,
     std::shared_ptr<client_session> session,
     unary_run& run)
 {
@@ -157,31 +157,32 @@
     }
 }
 
-asio::awaitable<void> ask_all(
+asio::awaitable<void> start_callers(
     asio::io_context& context, tcp::endpoint peer, int callers, unary_run& run)
 {
     const auto session =
         co_await client_session::connect(context, peer, session_options{});
     for (int i = 0; i < callers; ++i)
     {
-        asio::co_spawn(context, ask(context, *session, run), asio::detached);
+        asio::co_spawn(
+            context, send_calls(context, *session, run), asio::detached);
     }
 }
 
 double quantile(std::vector<double>& values, double share)
 {
-    const auto place = static_cast<std::size_t>(
+    const auto index = static_cast<std::size_t>(
         share * static_cast<double>(values.size() - 1));
-    const auto middle = values.begin() + static_cast<long>(place);
+    const auto middle = values.begin() + static_cast<long>(index);
     std::nth_element(values.begin(), middle, values.end());
     return *middle;
 }
 
-std::unique_ptr<server> must_listen(
+std::unique_ptr<server> listen_or_exit(
     asio::io_context& context, stream_handler handler, session_options options)
 {
-    auto made =
-        server::listen(context, any_port(), std::move(handler), options, false);
+    auto made = server::listen(
+        context, loopback_endpoint(), std::move(handler), options, false);
     if (!made)
     {
         std::fputs("can't listen\n", stderr);
@@ -213,9 +214,9 @@
     asio::io_context client_loop(1);
     asio::io_context server_loop(1);
     auto& loop = two_threads ? server_loop : client_loop;
-    const auto server = must_listen(loop, answer, session_options{});
+    const auto server = listen_or_exit(loop, serve_unary, session_options{});
     const auto work = asio::make_work_guard(server_loop);
-    std::thread other(
+    std::thread server_thread(
         [&server_loop, two_threads]
         {
             if (two_threads)
@@ -231,14 +232,14 @@
     const double cpu_before = processor_seconds();
     asio::co_spawn(
         client_loop,
-        ask_all(client_loop, server->local_endpoint(), callers, run),
+        start_callers(client_loop, server->local_endpoint(), callers, run),
         asio::detached);
     client_loop.run();
     const std::chrono::duration<double> wall =
         std::chrono::steady_clock::now() - begin;
     const double cpu = processor_seconds() - cpu_before;
     server_loop.stop();
-    other.join();
+    server_thread.join();
     report(
         two_threads ? "two-threads" : "one-thread",
         callers,
@@ -274,7 +275,8 @@
 void measure_transfer()
 {
     asio::io_context context(1);
-    const auto server = must_listen(context, serve_transfer, session_options{});
+    const auto server =
+        listen_or_exit(context, serve_transfer, session_options{});
     asio::co_spawn(
         context, transfer(context, server->local_endpoint()), asio::detached);
     context.run();
@@ -296,8 +298,8 @@
 
 constexpr std::chrono::milliseconds settle_time{300};
 
-asio::awaitable<void>
-measure_pairs(asio::io_context& context, tcp::endpoint peer, std::size_t count)
+asio::awaitable<void> measure_idle_pairs(
+    asio::io_context& context, tcp::endpoint peer, std::size_t count)
 {
     std::vector<std::shared_ptr<client_session>> sessions;
     sessions.reserve(count);
@@ -330,12 +332,12 @@
     context.stop();
 }
 
-asio::awaitable<void> measure_servers(
+asio::awaitable<void> measure_idle_servers(
     asio::io_context& context, tcp::endpoint peer, std::size_t count)
 {
     const std::string preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
     const std::string settings("\0\0\0\4\0\0\0\0\0", 9);
-    const auto greeting = preface + settings;
+    const auto handshake = preface + settings;
     std::vector<tcp::socket> sockets;
     sockets.reserve(count);
     const double before = heap_bytes();
@@ -344,7 +346,7 @@
         tcp::socket& socket = sockets.emplace_back(context);
         co_await socket.async_connect(peer, asio::use_awaitable);
         co_await asio::async_write(
-            socket, asio::buffer(greeting), asio::use_awaitable);
+            socket, asio::buffer(handshake), asio::use_awaitable);
     }
     co_await pause(settle_time);
     const double used = heap_bytes() - before;
@@ -361,18 +363,18 @@
     session_options options;
     {
         asio::io_context context(1);
-        const auto server = must_listen(context, answer, options);
+        const auto server = listen_or_exit(context, serve_unary, options);
         asio::co_spawn(
             context,
-            measure_servers(context, server->local_endpoint(), count),
+            measure_idle_servers(context, server->local_endpoint(), count),
             asio::detached);
         context.run();
     }
     asio::io_context context(1);
-    const auto server = must_listen(context, answer, options);
+    const auto server = listen_or_exit(context, serve_unary, options);
     asio::co_spawn(
         context,
-        measure_pairs(context, server->local_endpoint(), count),
+        measure_idle_pairs(context, server->local_endpoint(), count),
         asio::detached);
     context.run();
 }
@@ -381,8 +383,8 @@
 
 int main(int argument_count, char** arguments)
 {
-    const std::string_view only = argument_count > 1 ? arguments[1] : "";
-    if (only.empty() || only == "unary")
+    const std::string_view mode = argument_count > 1 ? arguments[1] : "";
+    if (mode.empty() || mode == "unary")
     {
         for (const int callers : {1, 16, 128})
         {
@@ -390,15 +392,15 @@
             measure_unary(callers, true);
         }
     }
-    if (only == "profile")
+    if (mode == "profile")
     {
         measure_unary(16, false, calls_in_a_profile);
     }
-    if (only.empty() || only == "transfer")
+    if (mode.empty() || mode == "transfer")
     {
         measure_transfer();
     }
-    if (only.empty() || only == "idle")
+    if (mode.empty() || mode == "idle")
     {
         for (const std::size_t count : {100, 1000, 4000})
         {
