--- a/bench/capacity/capacity_main.cpp
+++ b/bench/capacity/capacity_main.cpp
@@ -1,5 +1,5 @@
-// Measures the slopes on this machine, and prints them and what they come to at
-// the planned size as Markdown. docs/CAPACITY.md is made from this output.
+// Measures the slopes on this machine and prints them, with their extrapolation
+// to the planned size, as Markdown. docs/CAPACITY.md is made from this output.
 #include <cstdio>
 #include <filesystem>
 #include <iostream>
@@ -91,7 +91,7 @@
 
 } // namespace
 
-// The argument: a folder on the disk to measure; the present one by default.
+// The argument is a folder on the disk to measure; default is the current one.
 int main(int argc, char** argv)
 {
     const std::filesystem::path folder = argc > 1 ? argv[1] : ".";
--- a/bench/capacity/measure_claims.cpp
+++ b/bench/capacity/measure_claims.cpp
@@ -20,7 +20,7 @@
     messages::claim_command out;
     out.mutable_key()->set_customer("charity-" + std::to_string(number % 500));
     out.mutable_key()->set_class_name("disbursement");
-    // As long as a UUID.
+    // Pads the key to the length of a UUID.
     auto key = std::to_string(number) + "-";
     key.resize(36, 'k');
     out.mutable_key()->set_idempotency_key(key);
--- a/bench/capacity/measure_disk.cpp
+++ b/bench/capacity/measure_disk.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t batch_sizes[] = {1, 16, 64, 256};
 constexpr int batches = 50;
-// Two entries of a claim; measure_claims gives the figure.
+// Log size of the two entries of a claim, as measured by measure_claims.
 constexpr std::size_t claim_bytes = 700;
 
 } // namespace
--- a/bench/capacity/measure_membership.cpp
+++ b/bench/capacity/measure_membership.cpp
@@ -61,7 +61,8 @@
     return record;
 }
 
-// One second of answers to 22 control hosts that ask ten times a second.
+// Time to answer 22 control hosts that each ask ten times, one second's worth
+// of exchanges without news.
 double measure_idle_exchanges(const lease_registry& registry, time_point now)
 {
     constexpr int exchange_count = 220;
--- a/bench/capacity/measurement.hpp
+++ b/bench/capacity/measurement.hpp
@@ -1,4 +1,4 @@
-// Figures at several sizes, and their slope.
+// Measurements at several sizes, and the line fitted through them.
 #ifndef NUTMEGUSHER_BENCH_CAPACITY_MEASUREMENT_HPP
 #define NUTMEGUSHER_BENCH_CAPACITY_MEASUREMENT_HPP
 
@@ -17,7 +17,7 @@
     double value = 0;
 };
 
-// `value = fixed + slope * size`, by least squares.
+// Samples and their least-squares fit `value = fixed + slope * size`.
 struct measurement
 {
     std::string what;
@@ -30,7 +30,7 @@
 [[nodiscard]] measurement
 fit(std::string what, std::string unit, std::vector<sample> samples);
 
-// Bytes that the program has allocated now.
+// Bytes that the process has allocated on the heap now.
 [[nodiscard]] std::size_t allocated_bytes();
 
 template <class Work>
@@ -43,7 +43,7 @@
     return taken.count();
 }
 
-// Keeps a result alive for the optimizer.
+// Keeps the compiler from removing the computation of `value`.
 template <class T>
 void do_not_optimize(const T& value)
 {
--- a/bench/capacity/model.cpp
+++ b/bench/capacity/model.cpp
@@ -24,7 +24,7 @@
     return services * classes_a_service;
 }
 
-// Upstreams in the view of one daemon: all of each service that it calls.
+// Upstreams in the view of one daemon: all upstreams of the services it calls.
 double viewed_upstreams()
 {
     return called_services * daemons / services;
@@ -32,7 +32,7 @@
 
 double connections()
 {
-    // As many callers reach it as it calls.
+    // On average a daemon is called by as many daemons as it calls.
     return 2 * viewed_upstreams();
 }
 
@@ -48,10 +48,11 @@
            from.membership.reply_size.fixed + exchange_overhead_bytes;
 }
 
-// Leases that begin, end or change in a second.
+// Leases that start, end or change per second.
 double lease_changes_a_second()
 {
-    // A restart is a leaving record, an end and a new lease.
+    // A restart changes three: a leaving record, the lease's end and a new
+    // lease.
     return (3 * restarts_a_day + failures_a_day) / seconds_a_day;
 }
 
@@ -104,7 +105,8 @@
     const auto view = viewed_upstreams() * from.membership.view_memory.slope;
     const auto configuration =
         classes() * from.configuration.class_memory.slope;
-    // The one in force and the next one while it is taken.
+    // Two configurations: the one in force and the next one while it is
+    // applied.
     const auto memory = idle_process_memory + view + 2 * configuration +
                         connections() * connection_memory;
     const auto deltas =
--- a/bench/capacity/model.hpp
+++ b/bench/capacity/model.hpp
@@ -1,4 +1,4 @@
-// What the slopes come to at the planned size, for each role.
+// Extrapolates the measured slopes to the planned size, for each role.
 #ifndef NUTMEGUSHER_BENCH_CAPACITY_MODEL_HPP
 #define NUTMEGUSHER_BENCH_CAPACITY_MODEL_HPP
 
@@ -11,8 +11,8 @@
 namespace nutmegusher::capacity
 {
 
-// What a line rests on. Derived: slopes and the planned size alone. Assumed: an
-// assumption as well.
+// Where a figure comes from: `derived` uses only slopes and the planned size,
+// `assumed` uses assumptions as well.
 enum class basis : std::uint8_t
 {
     measured,
@@ -41,7 +41,7 @@
 [[nodiscard]] role claims_role(const slopes& from);
 [[nodiscard]] role failure_scenarios(const slopes& from);
 
-// 12345678 bytes as "12 MB".
+// Formats 12345678 bytes as "12 MB".
 [[nodiscard]] std::string bytes_text(double bytes);
 [[nodiscard]] std::string rate_text(double bytes_a_second);
 [[nodiscard]] std::string core_text(double nanoseconds_a_second);
--- a/bench/capacity/model_failure_scenarios.cpp
+++ b/bench/capacity/model_failure_scenarios.cpp
@@ -4,7 +4,8 @@
 namespace nutmegusher::capacity
 {
 
-// Peaks, spread as the mechanisms spread them.
+// Load peaks after failures, with the spreading that reconnect delays, failover
+// and relays apply.
 role failure_scenarios(const slopes& from)
 {
     using namespace planned;
--- a/bench/capacity/planned_size.hpp
+++ b/bench/capacity/planned_size.hpp
@@ -1,4 +1,4 @@
-// The size in two years, and what had to be assumed for it.
+// The deployment size planned for in two years, and the assumptions behind it.
 #ifndef NUTMEGUSHER_BENCH_CAPACITY_PLANNED_SIZE_HPP
 #define NUTMEGUSHER_BENCH_CAPACITY_PLANNED_SIZE_HPP
 
@@ -20,19 +20,20 @@
 inline constexpr double failures_a_day = 52;
 inline constexpr double restarts_a_day = 2200;
 
-// The layout.
+// Layout of the control hosts.
 inline constexpr double voters = 5;
 inline constexpr double relays = control_hosts - voters;
 inline constexpr double claim_replicas = 3;
 
-// Settings of the daemon as it ships.
+// Default settings of the daemon.
 inline constexpr double syncs_a_second = 1;
 inline constexpr double exchanges_a_second = 10;
 inline constexpr double heartbeats_a_second = 20;
 inline constexpr double pings_a_second_busy = 2;
 inline constexpr double subset_size = 20;
 inline constexpr double lease_seconds = 6;
-// A pass finds the lease that ends next; by then it was renewed again.
+// A pass is scheduled for the lease that expires next. As that lease is renewed
+// every sync, passes are a lease time minus one sync interval apart.
 inline constexpr double expiry_passes_a_second =
     1 / (lease_seconds - 1 / syncs_a_second);
 inline constexpr double failover_seconds = 0.5;
@@ -48,16 +49,16 @@
 inline constexpr double busy_hour_factor = 10;
 // Headers, frames and packets of one exchange, both ways.
 inline constexpr double exchange_overhead_bytes = 440;
-// A PING and its answer with their packets.
+// A PING and its acknowledgement with packet headers.
 inline constexpr double ping_bytes = 138;
-// One exchange on an open HTTP/2 connection, at each end.
+// Processor time of one exchange on an open HTTP/2 connection, at each end.
 inline constexpr double exchange_core_ns = 60e3;
 inline constexpr double connection_memory = 30e3;
 inline constexpr double idle_process_memory = 12e6;
 inline constexpr double relay_claims_memory = 16e9;
-// From losing a leader to the next accepted entry.
+// From the loss of a leader to the next accepted entry.
 inline constexpr double election_seconds = 1;
-// Entries of one durable batch.
+// Claims in one durable batch.
 inline constexpr double claims_a_batch = 64;
 
 } // namespace nutmegusher::capacity::planned
--- a/bench/capacity/slopes.hpp
+++ b/bench/capacity/slopes.hpp
@@ -1,4 +1,4 @@
-// Everything that is measured here.
+// Measured costs, each as a slope over a size.
 #ifndef NUTMEGUSHER_BENCH_CAPACITY_SLOPES_HPP
 #define NUTMEGUSHER_BENCH_CAPACITY_SLOPES_HPP
 
@@ -11,18 +11,18 @@
 
 struct membership_slopes
 {
-    measurement lease_memory;   // bytes, by leases in a registry
-    measurement renewal_time;   // ns, by renewals
-    measurement expire_time;    // ns of one pass, by leases
-    measurement idle_sync_time; // ns, by syncs without news
-    measurement
-        idle_exchange_time;    // ns of a second of quiet exchanges, by leases
-    measurement apply_time;    // ns, by leases of another control host
-    measurement request_size;  // bytes of a sync request, by services
-    measurement reply_size;    // bytes of a complete reply, by upstreams
-    measurement exchange_size; // bytes of an exchange, by changed leases
-    measurement view_memory;   // bytes, by upstreams in a view
-    measurement subset_time;   // ns of one choice, by upstreams of a service
+    measurement lease_memory;       // bytes, by leases in a registry
+    measurement renewal_time;       // ns, by renewals
+    measurement expire_time;        // ns of one pass, by leases
+    measurement idle_sync_time;     // ns, by syncs without news
+    measurement idle_exchange_time; // ns per second of exchanges without news,
+                                    // by leases
+    measurement apply_time;         // ns, by leases of another control host
+    measurement request_size;       // bytes of a sync request, by services
+    measurement reply_size;         // bytes of a complete reply, by upstreams
+    measurement exchange_size;      // bytes of an exchange, by changed leases
+    measurement view_memory;        // bytes, by upstreams in a view
+    measurement subset_time; // ns of one choice, by upstreams of a service
 };
 
 struct claim_slopes
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -1,9 +1,9 @@
-// The replicated logs on real files and connections of this machine:
+// Measures the replicated logs on real files and loopback connections:
 //
 //     build/bin/control_bench [FOLDER]
 //
-// All hosts run in one process, a thread each. FOLDER decides which disk is
-// measured; without it the system's folder for temporary files.
+// All hosts run in one process, with one thread each. FOLDER selects the disk
+// to measure and defaults to the system's folder for temporary files.
 #include "nutmegusher/execution/execution.hpp"
 #include "nutmegusher/node/control_test_hosts.hpp"
 
@@ -29,13 +29,13 @@
     return std::chrono::duration<double, std::milli>(span).count();
 }
 
-// Of all hosts together: they are one process.
+// Processor time of all hosts together, as they share one process.
 double processor_milliseconds()
 {
     return static_cast<double>(std::clock()) * 1000 / CLOCKS_PER_SEC;
 }
 
-// Hosts that nobody asks anything.
+// Measures the processor use of hosts that receive no requests.
 void measure_idle(std::size_t hosts)
 {
     constexpr std::chrono::seconds span(3);
@@ -74,7 +74,7 @@
     return change;
 }
 
-// The first change declares the class, the others set its target.
+// Change 0 declares the class; the others set its target.
 messages::change make_change(std::uint64_t number)
 {
     if (number == 0)
@@ -109,7 +109,7 @@
     return command;
 }
 
-// Several hosts that have elected leaders.
+// Control hosts that run in this process and elect leaders.
 class deployment
 {
 public:
@@ -131,7 +131,7 @@
         }
     }
 
-    // The host that leads a group, once one does.
+    // Waits until a group has a leader, and returns the index of that host.
     std::size_t leader(std::uint32_t group)
     {
         while (true)
@@ -190,7 +190,8 @@
     --work.running;
 }
 
-// All through one host: claims of groups led elsewhere are passed on.
+// Sends all claims to one host, which forwards those of groups that other hosts
+// lead.
 void measure_claims(
     deployment& control,
     std::uint64_t from,
@@ -230,7 +231,8 @@
         static_cast<unsigned long long>(work.refused));
 }
 
-// One after the other, as each change of a class follows the one before.
+// Sends changes sequentially, as each change of a class is based on the one
+// before.
 void measure_changes(deployment& control, std::uint64_t count)
 {
     auto& leader = *control.hosts[control.leader(0)];
@@ -257,8 +259,8 @@
         static_cast<unsigned long long>(refused));
 }
 
-// The leader of the configuration vanishes; until another host has a change
-// accepted.
+// Stops the leader of the configuration group and measures the time until a
+// change is accepted through another host.
 void measure_election(std::size_t size, const std::filesystem::path& folder)
 {
     deployment control(size, folder);
@@ -305,7 +307,7 @@
     }
 };
 
-// One host alone, so that nothing but reading and applying is measured.
+// Uses a single host, so that only reading and applying the log is measured.
 void measure_restart(
     std::uint64_t count, bool snapshot, const std::filesystem::path& folder)
 {
@@ -428,7 +430,7 @@
         {
             deployment control(size, size_folder / "load");
             measure_changes(control, 500);
-            // Until each claim group is led where it belongs.
+            // Waits until each claim group is led by its designated host.
             std::this_thread::sleep_for(std::chrono::seconds(5));
             measure_idle(size);
             measure_claims(control, 0, 500, 1);
--- a/bench/overload_bench.cpp
+++ b/bench/overload_bench.cpp
@@ -1,10 +1,10 @@
-// Goodput, recovery and tries under overload, on processes on loopback, with
-// our decisions and with the naive ones.
+// Measures goodput, recovery and tries under overload with the shipped and the
+// naive decisions, on processes that communicate over loopback.
 //
 //     overload_bench [seconds of surge] [factor ...]
 //
-// A load of 0.7 times the capacity rises to the factor for the surge and goes
-// back. Clients retry at once, up to three tries.
+// The load is 0.7 times the capacity, rises to `factor` times the capacity
+// during the surge, and falls back. Clients retry at once, up to three tries.
 #include "testing/testing.hpp"
 
 #include <algorithm>
@@ -48,8 +48,8 @@
     return classes;
 }
 
-// Milliseconds after the end of the surge from which on each window completes
-// `recovered_share` of what is offered in it.
+// Milliseconds from the end of the surge until every later window completes at
+// least `recovered_share` of the requests that arrive in it.
 double
 recovery_ms(const std::vector<ts::load_record>& records, milliseconds surge_end)
 {
@@ -164,7 +164,8 @@
     {
         if (!measure(factor, surge, false) || !measure(factor, surge, true))
         {
-            std::cerr << "overload_bench: the deployment doesn't serve\n";
+            std::cerr << "overload_bench: the deployment failed to start or to "
+                         "serve\n";
             return 1;
         }
     }
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -1,5 +1,6 @@
-// What the path costs: latency added to a direct call, calls a second per
-// core, and the memory of an idle daemon. All on processes on loopback.
+// Measures the cost of the path through the daemons: latency added to a direct
+// call, calls a second per core, and the memory of an idle daemon. All
+// processes communicate over loopback.
 //
 //     path_bench [calls]
 #include "testing/async_http_client.hpp"
@@ -42,8 +43,8 @@
         share * static_cast<double>(values.size() - 1))];
 }
 
-// One after the other, direct and through the daemons in turn, so that both
-// see the same state of the machine.
+// Alternates direct calls and calls through the daemons, so that both see the
+// same state of the machine.
 class paired_latency
 {
 public:
@@ -102,7 +103,8 @@
         const auto after = std::chrono::steady_clock::now();
         if (!result || result->status != 200)
         {
-            throw std::runtime_error("a call failed");
+            throw std::runtime_error(
+                "a benchmark call failed or did not return status 200");
         }
         co_return std::chrono::duration<double, std::micro>(after - before)
             .count();
@@ -117,7 +119,8 @@
     std::vector<double> path_us_;
 };
 
-// A fixed number of callers, each with the next call after the last answer.
+// A fixed number of callers, each of which sends its next call when the last
+// one is answered.
 class closed_loop
 {
 public:
@@ -195,14 +198,14 @@
     auto started = ts::deployment::start(options);
     if (!started || !(*started)->declare(ts::association_classes()))
     {
-        std::cerr << "path_bench: the deployment doesn't start\n";
+        std::cerr << "path_bench: the deployment failed to start\n";
         return 1;
     }
     auto& cluster = **started;
     const auto idle = cluster.daemon(0).resident_memory_kib();
     if (!cluster.wait_served(ts::offered_view(1)))
     {
-        std::cerr << "path_bench: views aren't served\n";
+        std::cerr << "path_bench: requests of class view aren't served\n";
         return 1;
     }
     std::printf("idle daemon   %.1f MB resident\n", idle / 1024.0);
--- a/bench/policy/decisions.hpp
+++ b/bench/policy/decisions.hpp
@@ -1,4 +1,4 @@
-// The two sets of decisions that a replay runs with.
+// The sets of decisions that a replay can run with.
 #ifndef NUTMEGUSHER_BENCH_POLICY_DECISIONS_HPP
 #define NUTMEGUSHER_BENCH_POLICY_DECISIONS_HPP
 
@@ -12,17 +12,17 @@
 namespace nutmegusher::bench
 {
 
-// What the daemons run.
+// The decisions that the daemons run.
 struct shipped_decisions
 {
     using admission = admission_controller;
     using route = router;
 
-    // Calls whose caller has given up are stopped at every hop.
+    // Cancels a call at every hop once its client gives up.
     static constexpr bool cancels = true;
-    // Refuses at the entry by the level that comes back.
+    // Refuses at the entry by the admission level that answers report.
     static constexpr bool gated = true;
-    // Tries elsewhere when one upstream takes too long.
+    // Abandons a try that takes too long and tries another upstream.
     static constexpr bool gives_up_tries = true;
 
     static admission
@@ -37,14 +37,14 @@
     }
 };
 
-// The same without the gate at the entry.
+// The shipped decisions without the gate at the entry.
 struct ungated_decisions : shipped_decisions
 {
     static constexpr bool gated = false;
 };
 
-// The naive ones. Their fixed limit is the true number of slots, which is
-// the best that a fixed limit can be.
+// The naive decisions. Their fixed limit is the real number of slots, the best
+// value that a fixed limit can have.
 struct naive_decisions
 {
     using admission = naive_admission;
--- a/bench/policy/event_queue.hpp
+++ b/bench/policy/event_queue.hpp
@@ -1,4 +1,5 @@
-// Events in the order of their time, run on a manual clock.
+// Runs events in order of time on a manual clock; events due at the same time
+// run in the order they were added.
 #ifndef NUTMEGUSHER_BENCH_POLICY_EVENT_QUEUE_HPP
 #define NUTMEGUSHER_BENCH_POLICY_EVENT_QUEUE_HPP
 
@@ -37,12 +38,13 @@
         at(now() + wait, std::move(what));
     }
 
-    // Runs all events before `end` after the start.
+    // Runs all events that are due earlier than `end` after the start.
     void run_until(duration end)
     {
         while (!events_.empty() && events_.top().when - start_ < end)
         {
-            // The top is const only to keep the order; it goes at once.
+            // Moving from the const top is safe: it only empties `what`, which
+            // the order doesn't depend on, and the event is popped next.
             event next = std::move(const_cast<event&>(events_.top()));
             events_.pop();
             clock_.advance(next.when - clock_.now());
--- a/bench/policy/naive.hpp
+++ b/bench/policy/naive.hpp
@@ -1,6 +1,6 @@
-// The naive decisions that ours are held against, with the same interfaces:
-// a fixed limit, a first-in-first-out queue, round robin, no gate, and three
-// tries per hop. For benchmarks and tests only.
+// Naive decisions as the baseline for the shipped ones, with the same
+// interfaces: a fixed limit, a first-in-first-out queue, round robin, no gate,
+// and three tries per hop. For benchmarks and tests only.
 #ifndef NUTMEGUSHER_BENCH_POLICY_NAIVE_HPP
 #define NUTMEGUSHER_BENCH_POLICY_NAIVE_HPP
 
@@ -18,7 +18,7 @@
 class naive_admission
 {
 public:
-    // Lets in `limit` calls; as many wait as there are `connections` left.
+    // Admits `limit` calls at a time and queues up to `connections - limit`.
     naive_admission(std::size_t limit, std::size_t connections);
 
     arrival_result arrive(const call_info& call, time_point now);
@@ -80,7 +80,7 @@
     std::size_t next_ = 0;
 };
 
-// Tries three times whatever happened; no token counts.
+// Allows three tries if repeating is safe, without regard to retry tokens.
 [[nodiscard]] retry_decision naive_retry(const failed_try& failed);
 
 } // namespace nutmegusher::bench
--- a/bench/policy/plot.py
+++ b/bench/policy/plot.py
@@ -13,7 +13,7 @@
 
 
 def line_chart(title, x_label, y_label, series, y_top):
-    """One SVG: series maps a name to (x, y) points and whether it is dashed."""
+    """Returns an SVG; `series` maps a name to (points, dashed)."""
     xs = sorted({x for points, _ in series.values() for x, _ in points})
 
     def place(x, y):
@@ -61,7 +61,7 @@
 
 
 def served_by_class(rows):
-    """One chart per trace: the share served over the load."""
+    """Returns the series of each trace: share served by load."""
     charts = {}
     for row in rows:
         dashed = row["decisions"] == "naive"
@@ -75,7 +75,7 @@
 
 
 def tries_by_depth(rows):
-    """The calls per needed call over the depth of the chain."""
+    """Returns the calls per needed call by depth of the chain."""
     series = {}
     for row in rows:
         dashed = row["decisions"] == "naive"
--- a/bench/policy/policy_bench.cpp
+++ b/bench/policy/policy_bench.cpp
@@ -1,4 +1,4 @@
-// Cost of one decision. Aim: under a microsecond each.
+// Measures the cost of single decisions. The goal is less than 1 us each.
 #include "nutmegusher/policy/policy.hpp"
 
 #include <benchmark/benchmark.h>
@@ -26,7 +26,7 @@
     return call;
 }
 
-// One arrival and one finish, with as many calls under way as `range(0)`.
+// One arrival and one finish, after `range(0)` arrivals.
 void admission_arrive_and_finish(benchmark::State& state)
 {
     admission_controller admission(1);
@@ -75,7 +75,7 @@
     state.counters["waiting"] =
         static_cast<double>(admission.state().short_lane.waiting);
 }
-// Below the limit; and far above it, where most is queued or refused.
+// 8 is below the limit. 2000 is far above it: most calls queue or are refused.
 BENCHMARK(admission_arrive_and_finish)->Arg(8)->Arg(2000);
 
 void router_choose(benchmark::State& state)
--- a/bench/policy/replay.hpp
+++ b/bench/policy/replay.hpp
@@ -1,10 +1,12 @@
-// Replays a trace through the very decisions that ship, on a manual clock.
+// Replays a trace through the same policy code that the daemons run, on a
+// manual clock.
 //
 //     const report ours = run_replay<shipped_decisions>(trace, seed);
 //
-// One chain of services with slots; no network, no processes. An upstream
-// works on as many calls as it has slots, keeps what its connections hold in
-// line, and refuses the rest. A slot is held during the sub-call.
+// Each class calls a chain of services. Nothing uses the network or other
+// processes. An upstream works on as many calls as it has slots, queues further
+// calls up to its number of connections, and refuses the rest. A call keeps its
+// slot during its sub-call.
 #ifndef NUTMEGUSHER_BENCH_POLICY_REPLAY_HPP
 #define NUTMEGUSHER_BENCH_POLICY_REPLAY_HPP
 
@@ -89,7 +91,7 @@
     event_queue events_;
     report report_;
     std::vector<host> hosts_;
-    // Hosts of each service.
+    // Indices into `hosts_`, by service.
     std::vector<std::vector<std::size_t>> hosts_by_service_;
     std::unordered_map<serial, client_request> requests_;
     std::unordered_map<serial, client_try> clients_;
--- a/bench/policy/replay_clients.hpp
+++ b/bench/policy/replay_clients.hpp
@@ -1,4 +1,4 @@
-// Part of replay.hpp: how clients ask and ask again.
+// Part of replay.hpp: how clients send requests and retry them.
 #ifndef NUTMEGUSHER_BENCH_POLICY_REPLAY_CLIENTS_HPP
 #define NUTMEGUSHER_BENCH_POLICY_REPLAY_CLIENTS_HPP
 
@@ -35,7 +35,7 @@
     {
         schedule_arrival(index, duration(0));
     }
-    // Those offered last still get their answers.
+    // Runs on past the end so that the last requests still get their answers.
     duration longest{0};
     for (const trace_class& one : load_.classes)
     {
--- a/bench/policy/replay_hops.hpp
+++ b/bench/policy/replay_hops.hpp
@@ -1,4 +1,4 @@
-// Part of replay.hpp: the daemon that makes a call.
+// Part of replay.hpp: the calling daemon's side of a call.
 #ifndef NUTMEGUSHER_BENCH_POLICY_REPLAY_HOPS_HPP
 #define NUTMEGUSHER_BENCH_POLICY_REPLAY_HOPS_HPP
 
@@ -82,7 +82,7 @@
     info.request = stable_hash("request", call.client);
     info.deadline = client.deadline - load_.client_delay;
     info.target = one.target - load_.client_delay * 2;
-    // Only the first hop moves the whole; sub-calls are short.
+    // Only the first hop transfers the whole body; sub-calls are short.
     info.bulk = one.bulk && call.depth == 0;
     info.sub_call = call.depth > 0;
     info.repeatable = one.repeatable;
@@ -101,7 +101,7 @@
 duration
 replay<Decisions>::network_delay(std::size_t from, std::size_t to) const
 {
-    // Within a data centre a tenth of a millisecond.
+    // One way within a data centre takes 0.1 ms.
     const bool near = hosts_[from].data_center == hosts_[to].data_center;
     return near ? std::chrono::microseconds(100) : load_.data_center_delay;
 }
@@ -201,7 +201,8 @@
         return;
     }
     client_try& client = clients_.at(one->client);
-    // The sub-calls below end with it, and the tokens sent down are lost.
+    // Abandoning the try aborts its sub-calls too; the retry tokens passed on
+    // to them are lost.
     for (std::size_t depth = client.calls.size(); depth-- > one->depth;)
     {
         const auto below = calls_.find(client.calls[depth]);
@@ -360,7 +361,7 @@
         }
         if (first)
         {
-            // What the lower hops hold is lost with them.
+            // Retry tokens that deeper hops hold are lost.
             hosts_[client.entry]
                 .budgets[requests_.at(client.request).work_class]
                 .end(client.tokens, found->second.tokens);
--- a/bench/policy/replay_main.cpp
+++ b/bench/policy/replay_main.cpp
@@ -1,5 +1,5 @@
-// Replays traces at several times their load, with the decisions that ship
-// and with the naive ones, and prints what callers get as CSV.
+// Replays traces at several load factors with the shipped and the naive
+// decisions, and prints the results of clients as CSV.
 //
 //     policy_replay_bench surge FILE...   rows by trace, load and class
 //     policy_replay_bench depth           tries at depths 1 to 10
@@ -52,7 +52,7 @@
     const auto base = load_trace(std::filesystem::path(file));
     if (!base)
     {
-        std::cerr << "can't read " << file << '\n';
+        std::cerr << "can't read trace file " << file << '\n';
         return false;
     }
     const std::string name = std::filesystem::path(file).stem().string();
@@ -70,7 +70,7 @@
     return true;
 }
 
-// A chain of services of which the last is offered three times what it takes.
+// A chain of services whose last one is offered three times its capacity.
 trace chain(std::size_t depth)
 {
     trace load;
@@ -97,7 +97,7 @@
         const auto work = std::chrono::milliseconds(last ? 20 : 2);
         one.hops.push_back({hop, work});
     }
-    // 30 slots of 20 ms take 1500 a second.
+    // 30 slots of 20 ms serve 1500 requests a second.
     one.rates = {
         {duration(0), load.surge_from, 750},
         {load.surge_from, load.surge_to, 4500},
--- a/bench/policy/replay_test.cpp
+++ b/bench/policy/replay_test.cpp
@@ -52,7 +52,8 @@
     EXPECT_LE(actual.max_retries_per_try, tokens_per_request);
 }
 
-// A trace that the naive decisions pass as well proves nothing.
+// Guards against traces that are too easy: the naive decisions must miss at
+// least one expected outcome.
 TEST_P(recorded_trace, naive_decisions_miss_one)
 {
     const report actual = run_replay<naive_decisions>(load, seed);
--- a/bench/policy/replay_types.hpp
+++ b/bench/policy/replay_types.hpp
@@ -1,4 +1,4 @@
-// The pieces of a replay: clients' requests, calls and upstreams.
+// Data types of a replay: client requests, calls and upstreams.
 #ifndef NUTMEGUSHER_BENCH_POLICY_REPLAY_TYPES_HPP
 #define NUTMEGUSHER_BENCH_POLICY_REPLAY_TYPES_HPP
 
@@ -15,7 +15,7 @@
 
 using serial = std::uint64_t;
 
-// What a client wants; it may try several times.
+// A request of a client, which may take several tries.
 struct client_request
 {
     std::size_t work_class = 0;
@@ -23,7 +23,7 @@
     time_point offered_at;
     std::uint32_t tries = 0;
     bool done = false;
-    // Runs of the last hop, for classes that may not be repeated.
+    // How often the last hop ran, to count duplicates of non-repeatable work.
     std::uint32_t runs = 0;
 };
 
@@ -38,23 +38,23 @@
     std::uint32_t retries = 0;
     // The client still waits.
     bool client_waiting = true;
-    // One for each depth that runs.
+    // The open call at each depth of the chain.
     std::vector<serial> calls;
-    // Depths reached.
+    // Number of depths that this try has called so far.
     std::size_t reached = 0;
 };
 
-// Where the present try of a call is.
+// Progress of the current try of a call.
 enum class call_stage : std::uint8_t
 {
     in_transit,
     waiting,
-    // In the upstream, but without a slot.
+    // Accepted by the upstream, waiting for a slot.
     in_backlog,
-    // Works before or after its sub-call.
+    // Working, before or after its sub-call.
     working,
     in_sub_call,
-    // Its answer is on the way, or it pauses before the next try.
+    // Its answer is in transit, or it waits before the next try.
     ended
 };
 
@@ -64,15 +64,15 @@
     serial id = 0;
     serial client = 0;
     std::size_t depth = 0;
-    // The daemon that makes it.
+    // Index of the host whose daemon makes the call.
     std::size_t caller = 0;
-    // 0: the client's own request.
+    // Call that this is a sub-call of; 0 at the entry.
     serial parent = 0;
     std::uint32_t tokens = 0;
     std::uint32_t tries = 0;
     std::vector<upstream_handle> tried;
 
-    // Of the present try:
+    // State of the current try:
     serial ticket = 0;
     upstream_handle handle;
     std::size_t upstream = 0;
@@ -81,7 +81,7 @@
     call_stage stage = call_stage::in_transit;
 };
 
-// How a try ended, as its caller hears it.
+// Result of a try as its caller receives it.
 struct try_answer
 {
     bool ok = false;
@@ -96,14 +96,14 @@
 struct simulated_host
 {
     std::size_t service = 0;
-    // Counted within its service.
+    // Position among the upstreams of its service.
     std::size_t index = 0;
     std::size_t data_center = 0;
     typename Decisions::admission admission;
     std::size_t busy = 0;
     std::deque<serial> backlog{};
     time_point wake_at = time_point::max();
-    // Of the daemon:
+    // State of the daemon:
     std::vector<typename Decisions::route> routers;
     entry_gate gate;
     sub_call_levels levels;
--- a/bench/policy/replay_upstreams.hpp
+++ b/bench/policy/replay_upstreams.hpp
@@ -1,4 +1,4 @@
-// Part of replay.hpp: an upstream and the daemon beside it.
+// Part of replay.hpp: an upstream and the admission of the daemon beside it.
 #ifndef NUTMEGUSHER_BENCH_POLICY_REPLAY_UPSTREAMS_HPP
 #define NUTMEGUSHER_BENCH_POLICY_REPLAY_UPSTREAMS_HPP
 
@@ -20,7 +20,8 @@
     one->stage = call_stage::waiting;
     const arrival_result verdict =
         hosts_[at].admission.arrive(call_info_of(*one), events_.now());
-    // Handling the others asks the admission again, and ends the span.
+    // Applying an outcome calls the admission again, which invalidates the
+    // span.
     const std::vector<queue_outcome> others(
         verdict.outcomes.begin(), verdict.outcomes.end());
     if (std::holds_alternative<admitted>(verdict.verdict))
@@ -93,8 +94,8 @@
 duration replay<Decisions>::work_time(const hop_call& call)
 {
     const host& here = hosts_[call.upstream];
-    // Half of it is fixed, half exponential, as of a service that reads and
-    // computes.
+    // Half of the mean is constant and half is exponentially distributed, as
+    // in a service that reads and computes.
     std::exponential_distribution<double> tail(1.0);
     double factor = 0.5 + 0.5 * tail(engine_);
     const duration now = events_.elapsed();
@@ -153,7 +154,8 @@
     hosts_[one->upstream].admission.sub_call_started(
         ticket_id(ticket), events_.now());
     const std::uint32_t tokens = std::exchange(one->sent_tokens, 0);
-    // Starting the sub-call may move `one` in its map.
+    // Copied, so that no reference into `calls_` is held while the sub-call
+    // inserts into it.
     const hop_call parent = *one;
     start_call(parent.client, parent.depth + 1, parent.upstream, call, tokens);
 }
--- a/bench/policy/report.cpp
+++ b/bench/policy/report.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Half a second of slices has to be good at a stretch.
+// Consecutive good slices of 100 ms (half a second) that count as recovery.
 constexpr std::size_t good_slices = 5;
 
 double
--- a/bench/policy/report.hpp
+++ b/bench/policy/report.hpp
@@ -1,4 +1,4 @@
-// What the callers of a replay got.
+// Results of a replay as its clients saw them.
 #ifndef NUTMEGUSHER_BENCH_POLICY_REPORT_HPP
 #define NUTMEGUSHER_BENCH_POLICY_REPORT_HPP
 
@@ -11,17 +11,18 @@
 namespace nutmegusher::bench
 {
 
-// Counts of one class or customer: requests of clients, each with its tries.
+// Request counts of one class or customer. All tries of a client's request
+// count as one.
 struct served
 {
     std::uint64_t offered = 0;
-    // A whole answer within the target of one of the client's tries.
+    // Requests fully answered within the target of one of their tries.
     std::uint64_t completed = 0;
 
     [[nodiscard]] double share() const;
 };
 
-// By the time at which the client first asked.
+// Counts of the requests whose first try started in this slice.
 struct time_slice
 {
     served all;
@@ -51,28 +52,30 @@
 
     std::vector<class_report> classes;
     std::vector<time_slice> slices;
-    // Tries that clients made, and calls to upstreams by depth in the chain.
+    // Tries made by clients.
     std::uint64_t client_tries = 0;
+    // Calls to upstreams, by depth in the chain.
     std::vector<std::uint64_t> calls_by_depth;
-    // What one try would have made at each depth without failures.
+    // Calls at each depth, not counting retries within the chain.
     std::vector<std::uint64_t> first_calls_by_depth;
     std::uint32_t max_retries_per_try = 0;
-    // Completed within the surge, by when they completed.
+    // Requests whose answer arrived during the surge.
     std::uint64_t completed_during_surge = 0;
     // Non-repeatable work that ran twice for one client's request.
     std::uint64_t duplicates = 0;
 
-    // Calls at all depths over those without any retry in the chain.
+    // Calls at all depths, divided by those without any retry in the chain.
     [[nodiscard]] double tries_per_call() const;
-    // Whole requests a second, while the surge lasted.
+    // Completed requests a second during the surge.
     [[nodiscard]] double surge_goodput(const trace& of) const;
-    // From the end of the surge until `share` of what is offered completes
-    // at the first try, over half a second. None: not within the trace.
+    // Time from the end of the surge until, for half a second, at least `share`
+    // of the offered requests complete at the first try. nullopt if that isn't
+    // reached within the trace.
     [[nodiscard]] std::optional<duration>
     recovery(const trace& of, double share) const;
 };
 
-// Whether the callers got what the trace states, and what they got.
+// A measured outcome compared with the one that the trace expects.
 struct outcome_check
 {
     trace_outcome expected;
@@ -83,7 +86,8 @@
 [[nodiscard]] std::vector<outcome_check>
 check_outcomes(const trace& of, const report& actual);
 
-// Recovery means that this share of what is offered completes at once.
+// Share of the offered requests that must complete at the first try to count as
+// recovered.
 inline constexpr double recovered_share = 0.95;
 
 } // namespace nutmegusher::bench
--- a/bench/policy/trace.cpp
+++ b/bench/policy/trace.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// One row, field by field; a missing or malformed one marks the row bad.
+// Reads a row field by field. A missing or malformed field marks the row bad.
 class row
 {
 public:
@@ -265,8 +265,8 @@
     return sum;
 }
 
-// How long a request of the class keeps a slot at its `hop`: while it works
-// there and while the hops below do.
+// Slot time of a request at `hop`: its own work, and the work and network delay
+// of the deeper hops.
 double slot_seconds(const trace& of, const trace_class& one, std::size_t hop)
 {
     duration time{0};
--- a/bench/policy/trace.hpp
+++ b/bench/policy/trace.hpp
@@ -1,25 +1,26 @@
-// A trace: services and classes of one user, and the load and faults over
-// time, read from a CSV file under `nutmegusher/policy/traces`.
+// A trace describes the services and classes of one user, and how load and
+// slowdowns change over time. It is read from a CSV file under
+// `nutmegusher/policy/traces`.
 //
-// Rows, the kind first; `#` starts a comment; times in ms:
+// The first field of a row is its kind. `#` starts a comment. Times are in ms.
 //
-//     region,<data centers>,<one way between them ms>,<one way to
-//     clients ms> service,<name>,<upstreams>,<slots>,<connections>
+//     region,<data centers>,<one way between them ms>,<one way to clients ms>
+//     service,<name>,<upstreams>,<slots>,<connections>
 //     class,<name>,<rank>,<repeatable 0/1>,<bulk 0/1>,<target ms>
 //     hop,<class>,<service>,<mean work ms>          in the order of the chain
 //     rate,<from>,<to>,<class>,<requests a second>
-//     customers,<class>,<count>,<share of load of the first>
+//     customers,<class>,<count>,<load share of the first>
 //     slow,<from>,<to>,<service>,<upstream or *>,<factor>
-//     clients,<tries>,<pause ms>,<wait as told 0/1>
-//     surge,<from>,<to>                             what recovery counts from
+//     clients,<tries>,<pause ms>,<honor retry-after 0/1>
+//     surge,<from>,<to>              recovery is measured from <to>
 //     end,<at>
 //
-// And what has to come out of it:
+// These rows state the outcomes that the replay must reach:
 //
-//     expect_served,<class>,<least share served of what the surge brings>
-//     expect_others,<class>,<the same without the first customer>
-//     expect_recovery,<most ms from the end of the surge>
-//     expect_tries,<most calls per call that was needed>
+//     expect_served,<class>,<min share served of the surge's load>
+//     expect_others,<class>,<the same, first customer excluded>
+//     expect_recovery,<max ms from the end of the surge>
+//     expect_tries,<max calls per needed call>
 #ifndef NUTMEGUSHER_BENCH_POLICY_TRACE_HPP
 #define NUTMEGUSHER_BENCH_POLICY_TRACE_HPP
 
@@ -48,7 +49,7 @@
     duration work{0};
 };
 
-// Load of a class over a stretch of time.
+// Arrival rate of a class within [from, to).
 struct trace_rate
 {
     duration from{0};
@@ -66,11 +67,13 @@
     std::vector<trace_hop> hops;
     std::vector<trace_rate> rates;
     std::uint64_t customers = 1;
-    // Share of the load that the first customer sends; the rest is even.
+    // Share of the load that the first customer sends. The others send equal
+    // shares of the rest.
     double first_customer_share = 0;
 };
 
-// A service, or one upstream of it, that works more slowly for a while.
+// Multiplies the work time of a service, or of one of its upstreams, by
+// `factor` within [from, to).
 struct trace_slowdown
 {
     duration from{0};
@@ -84,7 +87,7 @@
 {
     std::uint32_t tries = 1;
     duration pause{0};
-    // They wait as long as a refusal says.
+    // Clients wait at least the retry after of a refusal.
     bool honor_retry_after = true;
 };
 
@@ -96,12 +99,13 @@
     tries
 };
 
-// One stated outcome.
+// An outcome that the replay of the trace must reach.
 struct trace_outcome
 {
     outcome_kind kind = outcome_kind::served;
     std::size_t work_class = 0;
-    // A share, milliseconds or calls.
+    // By `kind`: a minimum share, maximum milliseconds, or maximum calls per
+    // needed call.
     double bound = 0;
 };
 
@@ -120,7 +124,8 @@
     std::vector<trace_outcome> outcomes;
 };
 
-// A row that can't be read; `line` counts from 1, 0: the file itself.
+// A row that can't be parsed. `line` counts from 1; 0 means that the file
+// can't be opened.
 struct bad_trace
 {
     std::size_t line = 0;
@@ -129,11 +134,11 @@
 // Fails with `bad_trace`.
 [[nodiscard]] leaf::result<trace> load_trace(const std::filesystem::path& file);
 
-// The slots that the load at `at` keeps busy when nothing waits, over the
-// slots there are, at the fullest service.
+// Utilization of the most loaded service at `at`: the slots that the load would
+// keep busy without queueing, divided by the service's slots.
 [[nodiscard]] double offered_load(const trace& of, duration at);
 
-// The same, if only classes up to `rank` came.
+// The same, counting only classes whose rank is at most `rank`.
 [[nodiscard]] double
 offered_load(const trace& of, duration at, std::uint8_t rank);
 
--- a/bench/rollout_bench.cpp
+++ b/bench/rollout_bench.cpp
@@ -1,4 +1,5 @@
-// Time from an accepted change to its being in force in all daemons.
+// Measures the time from sending a change until it is accepted, and until it is
+// in force in all daemons.
 //
 //     rollout_bench [daemons] [changes]
 #include "testing/testing.hpp"
@@ -30,7 +31,7 @@
     auto started = ts::deployment::start(options);
     if (!started || !(*started)->declare(ts::association_classes()))
     {
-        std::cerr << "rollout_bench: the deployment doesn't start\n";
+        std::cerr << "rollout_bench: the deployment failed to start\n";
         return 1;
     }
     const auto& cluster = **started;
@@ -51,7 +52,8 @@
         if (answer.outcome != ts::change_outcome::accepted ||
             !cluster.wait_in_force(answer.revision))
         {
-            std::cerr << "rollout_bench: a change isn't in force\n";
+            std::cerr << "rollout_bench: a change was not accepted or is not "
+                         "in force\n";
             return 1;
         }
         in_force_ms.push_back(milliseconds_since(start));
--- a/bench/wire_bench.cpp
+++ b/bench/wire_bench.cpp
@@ -1,12 +1,13 @@
-// What streams between our processes cost, on loopback.
+// Measures the cost of HTTP/2 streams between daemons, over loopback.
 //
-//     wire_bench            all of it
+//     wire_bench            all but the profile run
 //     wire_bench unary      calls a second of processor time, latency
-//     wire_bench profile    few calls, one thread: to run under a profiler
+//     wire_bench profile    few calls on one thread, for use with a profiler
 //     wire_bench transfer   MB a second
 //     wire_bench idle       bytes for each idle connection
 //
-// Client and server run in one process, on one thread unless said otherwise.
+// Client and server run in one process, on one thread unless the output says
+// otherwise.
 #include "nutmegusher/wire/wire.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -59,7 +60,8 @@
     return seconds(used.ru_utime) + seconds(used.ru_stime);
 }
 
-// The head of a call between daemons; ids, keys and times are new each time.
+// The head of a call between daemons. Ids, keys and timeouts differ from call
+// to call.
 request_head call_head(int call)
 {
     const auto digits = std::to_string(1000000 + call);
@@ -185,7 +187,7 @@
         context, loopback_endpoint(), std::move(handler), options, false);
     if (!made)
     {
-        std::fputs("can't listen\n", stderr);
+        std::fputs("wire_bench: can't listen on a loopback port\n", stderr);
         std::exit(1);
     }
     return std::move(*made);
@@ -208,7 +210,7 @@
         run.failed);
 }
 
-// The client on this thread; the server on it as well, or on one of its own.
+// The client runs on this thread; the server shares it or has its own.
 void measure_unary(int callers, bool two_threads, int calls = calls_in_a_run)
 {
     asio::io_context client_loop(1);
@@ -282,7 +284,7 @@
     context.run();
 }
 
-// Bytes that the allocator has given out.
+// Bytes that are allocated on the heap now.
 double heap_bytes()
 {
     const auto info = mallinfo2();
