--- a/bench/capacity/model.cpp
+++ b/bench/capacity/model.cpp
@@ -41,11 +41,11 @@
     return daemons / relays;
 }
 
-double sync_bytes(const slopes& from)
+double sync_bytes(const slopes& measured)
 {
-    return from.membership.request_size.fixed +
-           called_services * from.membership.request_size.slope +
-           from.membership.reply_size.fixed + exchange_overhead_bytes;
+    return measured.membership.request_size.fixed +
+           called_services * measured.membership.request_size.slope +
+           measured.membership.reply_size.fixed + exchange_overhead_bytes;
 }
 
 // Leases that start, end or change per second.
@@ -100,26 +100,28 @@
            "% of a core";
 }
 
-role daemon_role(const slopes& from)
+role daemon_role(const slopes& measured)
 {
-    const auto view = viewed_upstreams() * from.membership.view_memory.slope;
+    const auto view =
+        viewed_upstreams() * measured.membership.view_memory.slope;
     const auto configuration =
-        classes() * from.configuration.class_memory.slope;
+        classes() * measured.configuration.class_memory.slope;
     // Two configurations: the one in force and the next one while it is
     // applied.
     const auto memory = idle_process_memory + view + 2 * configuration +
                         connections() * connection_memory;
     const auto deltas =
         changes_a_second() *
-        (from.configuration.delta_size.slope + exchange_overhead_bytes);
+        (measured.configuration.delta_size.slope + exchange_overhead_bytes);
     const auto news =
         called_services / services * lease_changes_a_second() *
-        (from.membership.reply_size.slope + exchange_overhead_bytes);
-    const auto syncs = syncs_a_second * sync_bytes(from);
+        (measured.membership.reply_size.slope + exchange_overhead_bytes);
+    const auto syncs = syncs_a_second * sync_bytes(measured);
     const auto pings = ping_bytes * pings_a_second_busy;
     const auto update_ns =
         changes_a_second() *
-        (from.configuration.update_time.slope * classes() + exchange_core_ns);
+        (measured.configuration.update_time.slope * classes() +
+         exchange_core_ns);
     const auto busy = syncs_a_second * exchange_core_ns + update_ns;
     return {
         "A daemon",
@@ -164,30 +166,31 @@
           basis::assumed,
           "of it for changes " + core_text(update_ns)},
          {"retry tokens and deadlines of a request",
-          number_text(from.claims.ledger_time.slope) + " ns, " +
-              bytes_text(from.claims.ledger_memory.slope),
+          number_text(measured.claims.ledger_time.slope) + " ns, " +
+              bytes_text(measured.claims.ledger_memory.slope),
           "",
           basis::measured,
           "request ledger, 16 shards"}}};
 }
 
-role relay_role(const slopes& from)
+role relay_role(const slopes& measured)
 {
-    const auto registry = daemons * from.membership.lease_memory.slope;
+    const auto registry = daemons * measured.membership.lease_memory.slope;
     const auto syncs = daemons_a_relay() * syncs_a_second;
     const auto exchanges = (control_hosts - 1) * exchanges_a_second;
     const auto registry_time =
-        syncs * (from.membership.renewal_time.slope +
-                 from.membership.idle_sync_time.slope) +
-        daemons * (expiry_passes_a_second * from.membership.expire_time.slope +
-                   from.membership.idle_exchange_time.slope);
+        syncs * (measured.membership.renewal_time.slope +
+                 measured.membership.idle_sync_time.slope) +
+        daemons *
+            (expiry_passes_a_second * measured.membership.expire_time.slope +
+             measured.membership.idle_exchange_time.slope);
     const auto wire_time = (syncs + 2 * exchanges) * exchange_core_ns;
     const auto fan_out =
         changes_a_second() * daemons_a_relay() *
-        (from.configuration.delta_size.slope + exchange_overhead_bytes);
+        (measured.configuration.delta_size.slope + exchange_overhead_bytes);
     const auto exchange_bytes =
         2 * exchanges *
-        (from.membership.exchange_size.fixed + exchange_overhead_bytes);
+        (measured.membership.exchange_size.fixed + exchange_overhead_bytes);
     return {
         "A control host as a relay (18 of 23)",
         {{"daemons that sync with it",
@@ -211,7 +214,7 @@
           basis::assumed,
           number_text(syncs + 2 * exchanges) + " exchanges a second"},
          {"syncs",
-          rate_text(syncs * sync_bytes(from)),
+          rate_text(syncs * sync_bytes(measured)),
           "",
           basis::assumed,
           "long polls"},
@@ -227,11 +230,12 @@
           number_text(changes_a_second()) + " changes a second in the mean"}}};
 }
 
-role voter_role(const slopes& from)
+role voter_role(const slopes& measured)
 {
     const auto members = control_hosts - 1;
     const auto heartbeats = members * heartbeats_a_second;
-    const auto apply = changes_a_second() * from.configuration.apply_time.slope;
+    const auto apply =
+        changes_a_second() * measured.configuration.apply_time.slope;
     return {
         "A control host as a voter of the configuration (5 of 23)",
         {{"changes a second, mean and ten times that",
@@ -241,7 +245,7 @@
           basis::assumed,
           "one log, majority of 3 of 5 in 3 regions"},
          {"whole configuration",
-          bytes_text(classes() * from.configuration.full_size.slope),
+          bytes_text(classes() * measured.configuration.full_size.slope),
           "",
           basis::assumed,
           "for daemons that are too far behind"},
@@ -257,24 +261,25 @@
           basis::assumed,
           "every 50 ms; learners could do with fewer"},
          {"durable batch of one change",
-          format("%.2f ms", from.disk.sync_time.fixed / 1e6),
+          format("%.2f ms", measured.disk.sync_time.fixed / 1e6),
           "",
           basis::measured,
           "one sync a batch, on this machine's disk"}}};
 }
 
-role claims_role(const slopes& from)
+role claims_role(const slopes& measured)
 {
     const auto claims = claims_a_second();
     const auto claims_per_host = claims * claim_replicas / control_hosts;
     const auto kept = claims_per_host * retention_seconds;
     const auto table_claims =
-        claim_groups * table_bytes / from.claims.stripped_memory.slope;
-    const auto batch_seconds = (from.disk.sync_time.fixed +
-                                claims_a_batch * from.disk.sync_time.slope) /
-                               nanoseconds_a_second;
+        claim_groups * table_bytes / measured.claims.stripped_memory.slope;
+    const auto batch_seconds =
+        (measured.disk.sync_time.fixed +
+         claims_a_batch * measured.disk.sync_time.slope) /
+        nanoseconds_a_second;
     const auto host_claims =
-        relay_claims_memory / from.claims.stripped_memory.slope;
+        relay_claims_memory / measured.claims.stripped_memory.slope;
     const auto hours = host_claims / claims_per_host / 3600;
     return {
         "Claims: calls that may not be repeated",
@@ -284,23 +289,23 @@
           basis::assumed,
           "5% of the calls; 3 replicas on 23 hosts, groups led evenly"},
          {"memory of a finished claim, with its answer and without body",
-          bytes_text(from.claims.finished_memory.slope) + ", " +
-              bytes_text(from.claims.stripped_memory.slope),
+          bytes_text(measured.claims.finished_memory.slope) + ", " +
+              bytes_text(measured.claims.stripped_memory.slope),
           "",
           basis::measured,
           "claim table"},
          {"log of a claim, two entries",
-          bytes_text(from.claims.log_size.slope),
+          bytes_text(measured.claims.log_size.slope),
           "",
           basis::measured,
           "with an answer of 256 B"},
          {"log written on each host",
-          rate_text(claims_per_host * from.claims.log_size.slope),
+          rate_text(claims_per_host * measured.claims.log_size.slope),
           "",
           basis::assumed,
           "group commit"},
          {"processor, applying",
-          core_text(claims_per_host * from.claims.apply_time.slope),
+          core_text(claims_per_host * measured.claims.apply_time.slope),
           "",
           basis::assumed,
           "on each host"},
@@ -318,7 +323,7 @@
               " groups at the least, on this machine's disk"},
          {"keys on each host for 24 h",
           number_text(kept) + ", " +
-              bytes_text(kept * from.claims.stripped_memory.slope),
+              bytes_text(kept * measured.claims.stripped_memory.slope),
           "NOT KEPT",
           basis::assumed,
           "all keys in memory; see the changes below"},
@@ -334,13 +339,14 @@
           "as it ships; above it new keys are refused, none is forgotten"},
          {"snapshot of 1 GB of claims",
           bytes_text(
-              table_bytes / from.claims.finished_memory.slope *
-              from.claims.snapshot_size.slope) +
+              table_bytes / measured.claims.finished_memory.slope *
+              measured.claims.snapshot_size.slope) +
               ", " +
               format(
                   "%.1f s",
-                  table_bytes / from.claims.finished_memory.slope *
-                      from.claims.snapshot_time.slope / nanoseconds_a_second),
+                  table_bytes / measured.claims.finished_memory.slope *
+                      measured.claims.snapshot_time.slope /
+                      nanoseconds_a_second),
           "",
           basis::derived,
           "written in one go: the group stands still so long"}}};
--- a/bench/capacity/model.hpp
+++ b/bench/capacity/model.hpp
@@ -35,11 +35,11 @@
     std::vector<role_line> lines;
 };
 
-[[nodiscard]] role daemon_role(const slopes& from);
-[[nodiscard]] role relay_role(const slopes& from);
-[[nodiscard]] role voter_role(const slopes& from);
-[[nodiscard]] role claims_role(const slopes& from);
-[[nodiscard]] role failure_scenarios(const slopes& from);
+[[nodiscard]] role daemon_role(const slopes& measured);
+[[nodiscard]] role relay_role(const slopes& measured);
+[[nodiscard]] role voter_role(const slopes& measured);
+[[nodiscard]] role claims_role(const slopes& measured);
+[[nodiscard]] role failure_scenarios(const slopes& measured);
 
 // Formats 12345678 bytes as "12 MB".
 [[nodiscard]] std::string bytes_text(double bytes);
--- a/bench/capacity/model_failure_scenarios.cpp
+++ b/bench/capacity/model_failure_scenarios.cpp
@@ -6,14 +6,14 @@
 
 // Load peaks after failures, with the spreading that reconnect delays, failover
 // and relays apply.
-role failure_scenarios(const slopes& from)
+role failure_scenarios(const slopes& measured)
 {
     using namespace planned;
     const auto classes = services * classes_a_service;
-    const auto full =
-        classes * from.configuration.full_size.slope + exchange_overhead_bytes;
-    const auto view =
-        called_services * daemons / services * from.membership.reply_size.slope;
+    const auto full = classes * measured.configuration.full_size.slope +
+                      exchange_overhead_bytes;
+    const auto view = called_services * daemons / services *
+                      measured.membership.reply_size.slope;
     const auto first_sync = full + view;
 
     const auto returning = daemons / data_centers;
@@ -25,7 +25,7 @@
     const auto burst = busy_hour_factor * changes_a_day / (24.0 * 3600);
     const auto fan_out =
         burst * election_seconds * daemons / relays *
-        (from.configuration.delta_size.slope + exchange_overhead_bytes);
+        (measured.configuration.delta_size.slope + exchange_overhead_bytes);
     return {
         "Bad hours",
         {{"a data centre returns: whole configurations and views from each of "
@@ -52,22 +52,23 @@
           "failover within 0.5 s; complete views, configurations are known"},
          {"leases that move with them, to each control host",
           number_text(changed_leases) + ", " +
-              bytes_text(changed_leases * from.membership.exchange_size.slope) +
+              bytes_text(
+                  changed_leases * measured.membership.exchange_size.slope) +
               ", " +
-              core_text(changed_leases * from.membership.apply_time.slope) +
+              core_text(changed_leases * measured.membership.apply_time.slope) +
               " in one second",
           "",
           basis::derived,
           "exchanges carry only what changed"},
          {"a region is cut off for an hour",
           number_text(region) + " leases kept, " +
-              bytes_text(region * from.membership.lease_memory.slope),
+              bytes_text(region * measured.membership.lease_memory.slope),
           "",
           basis::derived,
           "silence of an owner ends nothing for 2 h; local changes go on in "
           "each part; configuration changes only where 3 of 5 voters are"},
          {"and comes back",
-          bytes_text(region * from.membership.exchange_size.slope) +
+          bytes_text(region * measured.membership.exchange_size.slope) +
               " to each of the other hosts from all of its own together",
           "",
           basis::derived,
--- a/bench/policy/report.cpp
+++ b/bench/policy/report.cpp
@@ -13,19 +13,20 @@
 constexpr std::size_t good_slices = 5;
 
 double
-measure(const trace_outcome& expected, const trace& of, const report& actual)
+measure(const trace_outcome& expected, const trace& load, const report& actual)
 {
-    const class_report& one = actual.classes[expected.work_class];
+    const class_report& class_counts = actual.classes[expected.work_class];
     switch (expected.kind)
     {
     case outcome_kind::served:
-        return one.in_surge.share();
+        return class_counts.in_surge.share();
     case outcome_kind::others:
-        return one.other_customers_in_surge.share();
+        return class_counts.other_customers_in_surge.share();
     case outcome_kind::recovery:
     {
-        const auto took = actual.recovery(of, recovered_share);
-        return std::chrono::duration<double, std::milli>(took.value_or(of.end))
+        const auto took = actual.recovery(load, recovered_share);
+        return std::chrono::duration<double, std::milli>(
+                   took.value_or(load.end))
             .count();
     }
     case outcome_kind::tries:
@@ -41,12 +42,13 @@
 
 } // namespace
 
-std::vector<outcome_check> check_outcomes(const trace& of, const report& actual)
+std::vector<outcome_check>
+check_outcomes(const trace& load, const report& actual)
 {
     std::vector<outcome_check> checks;
-    for (const trace_outcome& expected : of.outcomes)
+    for (const trace_outcome& expected : load.outcomes)
     {
-        const double measured = measure(expected, of, actual);
+        const double measured = measure(expected, load, actual);
         const bool met = is_share(expected.kind) ? measured >= expected.bound
                                                  : measured <= expected.bound;
         checks.push_back({expected, measured, met});
@@ -85,24 +87,25 @@
     return first == 0 ? 1.0 : sum(calls_by_depth) / first;
 }
 
-double report::surge_goodput(const trace& of) const
+double report::surge_goodput(const trace& load) const
 {
     const double seconds =
-        std::chrono::duration<double>(of.surge_to - of.surge_from).count();
+        std::chrono::duration<double>(load.surge_to - load.surge_from).count();
     return seconds <= 0 ? 0
                         : static_cast<double>(completed_during_surge) / seconds;
 }
 
-std::optional<duration> report::recovery(const trace& of, double share) const
+std::optional<duration> report::recovery(const trace& load, double share) const
 {
-    const auto first = static_cast<std::size_t>(of.surge_to / slice);
+    const auto first = static_cast<std::size_t>(load.surge_to / slice);
     std::size_t good = 0;
     for (std::size_t index = first; index < slices.size(); ++index)
     {
-        const time_slice& here = slices[index];
-        const bool enough = static_cast<double>(here.at_first_try) >=
-                            share * static_cast<double>(here.all.offered);
-        good = enough ? good + 1 : 0;
+        const time_slice& current_slice = slices[index];
+        const bool recovered =
+            static_cast<double>(current_slice.at_first_try) >=
+            share * static_cast<double>(current_slice.all.offered);
+        good = recovered ? good + 1 : 0;
         if (good == good_slices)
         {
             return slice * static_cast<std::int64_t>(index + 1 - good - first);
--- a/bench/policy/report.hpp
+++ b/bench/policy/report.hpp
@@ -67,12 +67,12 @@
     // Calls at all depths, divided by those without any retry in the chain.
     [[nodiscard]] double tries_per_call() const;
     // Completed requests a second during the surge.
-    [[nodiscard]] double surge_goodput(const trace& of) const;
+    [[nodiscard]] double surge_goodput(const trace& load) const;
     // Time from the end of the surge until, for half a second, at least `share`
     // of the offered requests complete at the first try. nullopt if that isn't
     // reached within the trace.
     [[nodiscard]] std::optional<duration>
-    recovery(const trace& of, double share) const;
+    recovery(const trace& load, double share) const;
 };
 
 // A measured outcome compared with the one that the trace expects.
@@ -84,7 +84,7 @@
 };
 
 [[nodiscard]] std::vector<outcome_check>
-check_outcomes(const trace& of, const report& actual);
+check_outcomes(const trace& load, const report& actual);
 
 // Share of the offered requests that must complete at the first try to count as
 // recovered.
--- a/bench/policy/trace.cpp
+++ b/bench/policy/trace.cpp
@@ -91,70 +91,70 @@
     bool good_ = true;
 };
 
-void read_service(row& fields, trace& into)
+void read_service(row& fields, trace& load)
 {
     trace_service service;
     service.name = fields.text();
     service.upstreams = fields.count();
     service.slots = fields.count();
     service.connections = fields.count();
-    into.services.push_back(service);
+    load.services.push_back(service);
 }
 
-void read_class(row& fields, trace& into)
+void read_class(row& fields, trace& load)
 {
-    trace_class one;
-    one.name = fields.text();
-    one.rank = static_cast<std::uint8_t>(fields.count());
-    one.repeatable = fields.count() != 0;
-    one.bulk = fields.count() != 0;
-    one.target = fields.milliseconds();
-    into.classes.push_back(one);
+    trace_class work_class;
+    work_class.name = fields.text();
+    work_class.rank = static_cast<std::uint8_t>(fields.count());
+    work_class.repeatable = fields.count() != 0;
+    work_class.bulk = fields.count() != 0;
+    work_class.target = fields.milliseconds();
+    load.classes.push_back(work_class);
 }
 
-void read_hop(row& fields, trace& into)
+void read_hop(row& fields, trace& load)
 {
-    const std::size_t index = fields.index_in(into.classes);
+    const std::size_t index = fields.index_in(load.classes);
     trace_hop hop;
-    hop.service = fields.index_in(into.services);
+    hop.service = fields.index_in(load.services);
     hop.work = fields.milliseconds();
     if (fields.good())
     {
-        into.classes[index].hops.push_back(hop);
+        load.classes[index].hops.push_back(hop);
     }
 }
 
-void read_rate(row& fields, trace& into)
+void read_rate(row& fields, trace& load)
 {
     trace_rate rate;
     rate.from = fields.milliseconds();
     rate.to = fields.milliseconds();
-    const std::size_t index = fields.index_in(into.classes);
+    const std::size_t index = fields.index_in(load.classes);
     rate.per_second = fields.real();
     if (fields.good())
     {
-        into.classes[index].rates.push_back(rate);
+        load.classes[index].rates.push_back(rate);
     }
 }
 
-void read_customers(row& fields, trace& into)
+void read_customers(row& fields, trace& load)
 {
-    const std::size_t index = fields.index_in(into.classes);
+    const std::size_t index = fields.index_in(load.classes);
     const std::size_t count = fields.count();
     const double share = fields.real();
     if (fields.good())
     {
-        into.classes[index].customers = std::max<std::size_t>(count, 1);
-        into.classes[index].first_customer_share = share;
+        load.classes[index].customers = std::max<std::size_t>(count, 1);
+        load.classes[index].first_customer_share = share;
     }
 }
 
-void read_slowdown(row& fields, trace& into)
+void read_slowdown(row& fields, trace& load)
 {
     trace_slowdown slowdown;
     slowdown.from = fields.milliseconds();
     slowdown.to = fields.milliseconds();
-    slowdown.service = fields.index_in(into.services);
+    slowdown.service = fields.index_in(load.services);
     const std::string upstream = fields.text();
     if (upstream != "*")
     {
@@ -162,17 +162,17 @@
         slowdown.upstream = single.count();
     }
     slowdown.factor = fields.real();
-    into.slowdowns.push_back(slowdown);
+    load.slowdowns.push_back(slowdown);
 }
 
-bool read_outcome(const std::string& kind, row& fields, trace& into)
+bool read_outcome(const std::string& kind, row& fields, trace& load)
 {
     trace_outcome expected;
     if (kind == "expect_served" || kind == "expect_others")
     {
         expected.kind = kind == "expect_served" ? outcome_kind::served
                                                 : outcome_kind::others;
-        expected.work_class = fields.index_in(into.classes);
+        expected.work_class = fields.index_in(load.classes);
     }
     else if (kind == "expect_recovery")
     {
@@ -187,32 +187,32 @@
         return false;
     }
     expected.bound = fields.real();
-    into.outcomes.push_back(expected);
+    load.outcomes.push_back(expected);
     return true;
 }
 
-void read_topology_or_time(const std::string& kind, row& fields, trace& into)
+void read_topology_or_time(const std::string& kind, row& fields, trace& load)
 {
     if (kind == "region")
     {
-        into.data_centers = std::max<std::size_t>(fields.count(), 1);
-        into.data_center_delay = fields.milliseconds();
-        into.client_delay = fields.milliseconds();
+        load.data_centers = std::max<std::size_t>(fields.count(), 1);
+        load.data_center_delay = fields.milliseconds();
+        load.client_delay = fields.milliseconds();
     }
     else if (kind == "clients")
     {
-        into.clients.tries = static_cast<std::uint32_t>(fields.count());
-        into.clients.pause = fields.milliseconds();
-        into.clients.honor_retry_after = fields.count() != 0;
+        load.clients.tries = static_cast<std::uint32_t>(fields.count());
+        load.clients.pause = fields.milliseconds();
+        load.clients.honor_retry_after = fields.count() != 0;
     }
     else if (kind == "surge")
     {
-        into.surge_from = fields.milliseconds();
-        into.surge_to = fields.milliseconds();
+        load.surge_from = fields.milliseconds();
+        load.surge_to = fields.milliseconds();
     }
     else if (kind == "end")
     {
-        into.end = fields.milliseconds();
+        load.end = fields.milliseconds();
     }
     else
     {
@@ -220,42 +220,42 @@
     }
 }
 
-void read_row(const std::string& kind, row& fields, trace& into)
+void read_row(const std::string& kind, row& fields, trace& load)
 {
     if (kind == "service")
     {
-        read_service(fields, into);
+        read_service(fields, load);
     }
     else if (kind == "class")
     {
-        read_class(fields, into);
+        read_class(fields, load);
     }
     else if (kind == "hop")
     {
-        read_hop(fields, into);
+        read_hop(fields, load);
     }
     else if (kind == "rate")
     {
-        read_rate(fields, into);
+        read_rate(fields, load);
     }
     else if (kind == "customers")
     {
-        read_customers(fields, into);
+        read_customers(fields, load);
     }
     else if (kind == "slow")
     {
-        read_slowdown(fields, into);
+        read_slowdown(fields, load);
     }
-    else if (!read_outcome(kind, fields, into))
+    else if (!read_outcome(kind, fields, load))
     {
-        read_topology_or_time(kind, fields, into);
+        read_topology_or_time(kind, fields, load);
     }
 }
 
-double rate_at(const trace_class& of, duration at)
+double rate_at(const trace_class& load, duration at)
 {
     double sum = 0;
-    for (const trace_rate& rate : of.rates)
+    for (const trace_rate& rate : load.rates)
     {
         if (rate.from <= at && at < rate.to)
         {
@@ -267,13 +267,14 @@
 
 // Slot time of a request at `hop`: its own work, and the work and network delay
 // of the deeper hops.
-double slot_seconds(const trace& of, const trace_class& one, std::size_t hop)
+double
+slot_seconds(const trace& load, const trace_class& work_class, std::size_t hop)
 {
     duration time{0};
-    for (std::size_t index = hop; index < one.hops.size(); ++index)
+    for (std::size_t index = hop; index < work_class.hops.size(); ++index)
     {
-        time += one.hops[index].work;
-        time += index > hop ? of.data_center_delay : duration(0);
+        time += work_class.hops[index].work;
+        time += index > hop ? load.data_center_delay : duration(0);
     }
     return std::chrono::duration<double>(time).count();
 }
@@ -309,43 +310,43 @@
     return loaded;
 }
 
-double offered_load(const trace& of, duration at)
+double offered_load(const trace& load, duration at)
 {
-    return offered_load(of, at, 255);
+    return offered_load(load, at, 255);
 }
 
-double offered_load(const trace& of, duration at, std::uint8_t rank)
+double offered_load(const trace& load, duration at, std::uint8_t rank)
 {
-    std::vector<double> busy(of.services.size(), 0.0);
-    for (const trace_class& one : of.classes)
+    std::vector<double> busy(load.services.size(), 0.0);
+    for (const trace_class& work_class : load.classes)
     {
-        if (one.rank > rank)
+        if (work_class.rank > rank)
         {
             continue;
         }
-        for (std::size_t hop = 0; hop < one.hops.size(); ++hop)
+        for (std::size_t hop = 0; hop < work_class.hops.size(); ++hop)
         {
-            busy[one.hops[hop].service] +=
-                rate_at(one, at) * slot_seconds(of, one, hop);
+            busy[work_class.hops[hop].service] +=
+                rate_at(work_class, at) * slot_seconds(load, work_class, hop);
         }
     }
-    double fullest = 0;
+    double max_utilization = 0;
     for (std::size_t index = 0; index < busy.size(); ++index)
     {
-        const trace_service& service = of.services[index];
+        const trace_service& service = load.services[index];
         const double slots =
             static_cast<double>(service.upstreams * service.slots);
-        fullest = std::max(fullest, busy[index] / slots);
+        max_utilization = std::max(max_utilization, busy[index] / slots);
     }
-    return fullest;
+    return max_utilization;
 }
 
-void scale_load(trace& of, duration from, duration to, double factor)
+void scale_load(trace& load, duration from, duration to, double factor)
 {
-    for (trace_class& one : of.classes)
+    for (trace_class& work_class : load.classes)
     {
         std::vector<trace_rate> scaled;
-        for (const trace_rate& rate : one.rates)
+        for (const trace_rate& rate : work_class.rates)
         {
             const duration inner_from = std::clamp(from, rate.from, rate.to);
             const duration inner_to = std::clamp(to, inner_from, rate.to);
@@ -359,7 +360,7 @@
             {
                 return rate.from >= rate.to;
             });
-        one.rates = scaled;
+        work_class.rates = scaled;
     }
 }
 
--- a/bench/policy/trace.hpp
+++ b/bench/policy/trace.hpp
@@ -136,14 +136,14 @@
 
 // Utilization of the most loaded service at `at`: the slots that the load would
 // keep busy without queueing, divided by the service's slots.
-[[nodiscard]] double offered_load(const trace& of, duration at);
+[[nodiscard]] double offered_load(const trace& load, duration at);
 
 // The same, counting only classes whose rank is at most `rank`.
 [[nodiscard]] double
-offered_load(const trace& of, duration at, std::uint8_t rank);
+offered_load(const trace& load, duration at, std::uint8_t rank);
 
 // Multiplies the load within [from, to).
-void scale_load(trace& of, duration from, duration to, double factor);
+void scale_load(trace& load, duration from, duration to, double factor);
 
 } // namespace nutmegusher::bench
 
