--- a/bench/policy/replay_types.hpp
+++ b/bench/policy/replay_types.hpp
@@ -66,13 +66,13 @@
     std::size_t depth = 0;
     // Index of the host whose daemon makes the call.
     std::size_t caller = 0;
-    // Call that this is a sub-call of; 0 at the entry.
+    // Id of the call that makes this sub-call; 0 for the call from the entry.
     serial parent = 0;
     std::uint32_t tokens = 0;
     std::uint32_t tries = 0;
     std::vector<upstream_handle> tried;
 
-    // State of the current try:
+    // The members below describe the current try.
     serial ticket = 0;
     upstream_handle handle;
     std::size_t upstream = 0;
@@ -103,7 +103,7 @@
     std::size_t busy = 0;
     std::deque<serial> backlog{};
     time_point wake_at = time_point::max();
-    // State of the daemon:
+    // State of the daemon beside the upstream:
     std::vector<typename Decisions::route> routers;
     entry_gate gate;
     sub_call_levels levels;
--- a/bench/policy/trace.hpp
+++ b/bench/policy/trace.hpp
@@ -87,7 +87,7 @@
 {
     std::uint32_t tries = 1;
     duration pause{0};
-    // Clients wait at least the retry after of a refusal.
+    // Clients wait at least the retry-after time of a refusal.
     bool honor_retry_after = true;
 };
 
@@ -124,8 +124,8 @@
     std::vector<trace_outcome> outcomes;
 };
 
-// A row that can't be parsed. `line` counts from 1; 0 means that the file
-// can't be opened.
+// A row that can't be parsed. `line` counts from 1, and 0 means that the
+// file can't be opened.
 struct bad_trace
 {
     std::size_t line = 0;
