--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -430,7 +430,7 @@
         {
             deployment control(size, size_folder / "load");
             measure_changes(control, 500);
-            // Waits until each claim group is led by its designated host.
+            // Waits until each claim group is led by its preferred host.
             std::this_thread::sleep_for(std::chrono::seconds(5));
             measure_idle(size);
             measure_claims(control, 0, 500, 1);
