--- a/nutmegusher/node/settings.cpp
+++ b/nutmegusher/node/settings.cpp
@@ -25,7 +25,7 @@
 
 constexpr std::array setting_table{
     known_setting{"host", "id", "", "name of this host, unique"},
-    known_setting{"host", "data_center", "", "data centre it stands in"},
+    known_setting{"host", "data_center", "", "data centre of this host"},
     known_setting{"host", "region", "", "region of the data centre"},
     known_setting{"host", "threads", "2", "worker threads, 1 to 64"},
     known_setting{"listen", "callers", "", "ip:port for members and clerks"},
@@ -47,8 +47,8 @@
         "control_hosts",
         "peer_port",
         "",
-        "holds instead of the port of each address, where control hosts are "
-        "known by another listener's"},
+        "replaces the port of each address, for when the addresses name "
+        "another listener"},
     known_setting{
         "control",
         "data_folder",
@@ -58,21 +58,22 @@
         "control",
         "initial",
         "",
-        "host=ip:port of the control hosts of the very first start"},
+        "host=ip:port of the control hosts at the first start"},
     known_setting{
         "control", "claim_groups", "4", "replicated logs of claims, 0 to 64"},
     known_setting{
         "control",
         "bootstrap",
         "no",
-        "yes: with no 'initial', the control hosts under [control_hosts] "
-        "found the cluster; only at the very first start"},
+        "yes: if 'initial' is empty, the control hosts under [control_hosts] "
+        "found the cluster; only at the first start"},
     known_setting{
         "control",
         "tolerated_losses",
         "0",
-        "losses at a time that the voters bear, 0 to 7; the control hosts keep "
-        "twice as many voters and one by themselves, 0: an operator does"},
+        "simultaneous host failures that the voters must survive, 0 to 7; the "
+        "control hosts keep twice as many voters plus one by themselves; 0: an "
+        "operator does"},
     known_setting{"control", "role", "voter", "voter or relay"},
     known_setting{"log", "format", "json", "json or text"},
     known_setting{
@@ -88,7 +89,7 @@
         "limits",
         "buffered_body_bytes",
         "65536",
-        "bodies kept whole for a second try, bytes"},
+        "largest body that is buffered for a retry, bytes"},
     known_setting{
         "limits",
         "claimed_body_bytes",
@@ -108,8 +109,8 @@
         "shutdown",
         "accept_ms",
         "0",
-        "connections are accepted and kept for so long after the stop has "
-        "begun, half a second at least"},
+        "how long connections are still accepted and kept after the stop has "
+        "begun; at least half a second"},
     known_setting{
         "shutdown",
         "killed_after_ms",
