--- a/nutmegusher/policy/entry_gate.hpp
+++ b/nutmegusher/policy/entry_gate.hpp
@@ -38,8 +38,9 @@
 {
 public:
     // Decides on a request at the entry; nullopt: it passes. A refusal's
-    // `retry_after` isn't randomized: the caller must pass it through `spread`.
-    // It is the time in which all requests refused before could pass.
+    // `retry_after` isn't randomized: the caller must pass it through
+    // `jittered`. It is the time in which all requests refused before could
+    // pass.
     [[nodiscard]] std::optional<refused>
     check(const call_info& call, time_point now);
 
--- a/nutmegusher/policy/shed_control.cpp
+++ b/nutmegusher/policy/shed_control.cpp
@@ -17,13 +17,10 @@
 // waiting callers make no further calls: a full service shows in its backlog
 // more than in its arrivals.
 constexpr double drain_seconds = 0.2;
-// A fully used service should always have a short queue: capacity of an idle
-// slot is lost for good, while the wait is bounded by the level. The excess
-// over 1 stands for a backlog of a twentieth of `drain_seconds`, 10 ms per
-// call. At 1.1, calls wait for more than one slot time in a burst of twice the
-// slots; at 1.3, four sequential calls wait so long that 8 instead of 5 in 100
-// rank 0 requests with a time limit of 0.8 s fail. At 0.92, 37 in 100 requests
-// of an overloaded day were not served, at 1.05 34.
+// A fully used service should always have a short queue, here a backlog of a
+// twentieth of `drain_seconds`, 10 ms per call: below 1, capacity of idle slots
+// is lost for good. The higher the target, the longer each of a request's
+// sequential calls waits, until even requests of the best rank fail.
 constexpr double target_demand = 1.05;
 // The proportional gain, in level units per unit of excess demand: at a load of
 // twice the slots, about this much of the lowest rank has to be shed to bring
--- a/nutmegusher/routed/routed_state.hpp
+++ b/nutmegusher/routed/routed_state.hpp
@@ -93,7 +93,7 @@
     std::array<shed_shares, rank_count> orders_;
 };
 
-// An `slow_start` for all worker threads; starts with the first request.
+// A `slow_start` for all worker threads; starts with the first request.
 class entry_slow_start
 {
 public:
